--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -69,7 +69,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a factor of 2 to 10."""
-        return {"factor": draw.log((2.0, 10.0))}
+        return {"factor": draw.log_uniform((2.0, 10.0))}
 
 
 class NodeHung(Fault, frozen=True, tag="node-hung"):
@@ -92,7 +92,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a drain of 0.05 to 1 second."""
-        return {"drain_s": draw.of((0.05, 1.0))}
+        return {"drain_s": draw.uniform((0.05, 1.0))}
 
 
 class NodeReplaced(Fault, frozen=True, tag="node-replaced"):
@@ -103,7 +103,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a drain in 40 % of cases, and no drain otherwise."""
-        return {"drain_s": draw.of((0.2, 0.8)) if draw.chance(0.4) else 0.0}
+        return {"drain_s": draw.uniform((0.2, 0.8)) if draw.chance(0.4) else 0.0}
 
 
 class NodePowerLoss(Fault, frozen=True, tag="node-vanished"):
@@ -120,7 +120,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a fraction of 0.25 to 0.55 of the nodes."""
-        return {"part": draw.of((0.25, 0.55)), "drain_s": draw.of((0.3, 1.5))}
+        return {"part": draw.uniform((0.25, 0.55)), "drain_s": draw.uniform((0.3, 1.5))}
 
 
 class FleetRenewed(Fault, frozen=True, tag="fleet-renewed"):
@@ -135,7 +135,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw half to all of the nodes; a crowd arrives just after discovery has listed the new nodes."""
-        given = {"part": draw.of((0.5, 1.0))}
+        given = {"part": draw.uniform((0.5, 1.0))}
         if world.crowd:
             at = world.opens_s - world.notice_s - world.discovery.spread_s
             given.update(at_s=round(max(FIRST_AT, at), 4), for_s=0.0)
@@ -158,7 +158,11 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a share of 0.3 to 0.75, and on and off periods of 0.1 to 0.6 seconds."""
-        return {"share": draw.of((0.3, 0.75)), "on_s": draw.of((0.1, 0.6)), "off_s": draw.of((0.1, 0.6))}
+        return {
+            "share": draw.uniform((0.3, 0.75)),
+            "on_s": draw.uniform((0.1, 0.6)),
+            "off_s": draw.uniform((0.1, 0.6)),
+        }
 
 
 class LateDrainNotice(Fault, frozen=True, tag="drain-told-late"):
@@ -173,7 +177,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a delay that may end while the node drains or after it has exited."""
-        return {"late_s": draw.of((0.2, 1.2)), "drain_s": draw.of((0.1, 1.2))}
+        return {"late_s": draw.uniform((0.2, 1.2)), "drain_s": draw.uniform((0.1, 1.2))}
 
 
 class DrainCancelled(Fault, frozen=True, tag="drain-taken-back"):
@@ -188,7 +192,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a period on either side of the drain grace period of 0.5 seconds."""
-        return {"every_s": draw.of((0.15, 0.7))}
+        return {"every_s": draw.uniform((0.15, 0.7))}
 
 
 class RequestResets(Fault, frozen=True, tag="resets"):
@@ -206,7 +210,7 @@
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the point of the exchange at which the reset occurs."""
         where = draw.rng.choice(get_args(ResetWhere))
-        return {"where": where, "part": draw.of((0.1, 0.9)), "runs": draw.chance(0.6)}
+        return {"where": where, "part": draw.uniform((0.1, 0.9)), "runs": draw.chance(0.6)}
 
 
 class MalformedAnswers(Fault, frozen=True, tag="answers-spoilt"):
@@ -219,7 +223,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
-        return {"how": draw.rng.choice(get_args(SpoiltHow)), "part": draw.of((0.1, 0.9))}
+        return {"how": draw.rng.choice(get_args(SpoiltHow)), "part": draw.uniform((0.1, 0.9))}
 
 
 class RequestRejections(Fault, frozen=True, tag="turning-away"):
@@ -232,7 +236,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a fraction of 0.2 to 1, and the status code of the rejections."""
-        return {"part": draw.of((0.2, 1.0)), "status": draw.rng.choice((503, 504))}
+        return {"part": draw.uniform((0.2, 1.0)), "status": draw.rng.choice((503, 504))}
 
 
 class LateReports(Fault, frozen=True, tag="reports-late"):
@@ -244,7 +248,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a delay of up to several report periods."""
-        return {"by_s": draw.of((0.3, 2.5))}
+        return {"by_s": draw.uniform((0.3, 2.5))}
 
 
 class WrongReports(Fault, frozen=True, tag="reports-wrong"):
@@ -271,8 +275,8 @@
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw an early close, or a close that leaves a request unread."""
         return {
-            "within_s": draw.log((0.01, 0.5)),
-            "part": draw.of((0.2, 0.9)),
+            "within_s": draw.log_uniform((0.01, 0.5)),
+            "part": draw.uniform((0.2, 0.9)),
             "unread": draw.chance(0.5),
         }
 
@@ -301,7 +305,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a factor of 10 to 200."""
-        return {"factor": draw.log((10.0, 200.0))}
+        return {"factor": draw.log_uniform((10.0, 200.0))}
 
 
 class DiscoveryUnresponsive(Fault, frozen=True, tag="discovery-silent"):
@@ -335,7 +339,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a first version that is lower than, equal to or higher than the old service's version."""
-        return {"version": draw.rng.choice((1, 2, 3, 5, 40, 1000)), "keeps_s": draw.of((0.2, 1.5))}
+        return {"version": draw.rng.choice((1, 2, 3, 5, 40, 1000)), "keeps_s": draw.uniform((0.2, 1.5))}
 
 
 class DiscoveryUnreachable(Fault, frozen=True, tag="discovery-unreachable"):
@@ -367,7 +371,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a period that gives 3 to 20 changes a second."""
-        return {"every_s": draw.log((0.05, 0.3))}
+        return {"every_s": draw.log_uniform((0.05, 0.3))}
 
 
 # --- clients -----------------------------------------------------------------------------------
@@ -390,7 +394,7 @@
         what = draw.rng.choice(BAD_KINDS)
         asking = min(sidecar.sockets for sidecar in world.sidecars) / 4
         numbers = {"silent": (20.0, 160.0), "ask-and-stay": (8.0, asking), "half-request": (4.0, 20.0)}
-        return {"what": what, "count": int(draw.log(numbers.get(what, (1.0, 5.0))))}
+        return {"what": what, "count": int(draw.log_uniform(numbers.get(what, (1.0, 5.0))))}
 
 
 # --- sidecars -------------------------------------------------------------------------------------
@@ -417,7 +421,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a stall short enough for the sidecar to comply with every rule."""
-        return {"stall_s": draw.log((0.001, 0.008))}
+        return {"stall_s": draw.log_uniform((0.001, 0.008))}
 
 
 class SidecarPaused(Fault, frozen=True, tag="sidecar-paused"):
@@ -449,7 +453,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a shift of one second to one hour in either direction."""
-        return {"by_s": draw.log((1.0, 3600.0)) * draw.rng.choice((1, -1))}
+        return {"by_s": draw.log_uniform((1.0, 3600.0)) * draw.rng.choice((1, -1))}
 
 
 class DescriptorsExhausted(Fault, frozen=True, tag="descriptors-used-up"):
@@ -461,7 +465,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw 0 to 6 remaining descriptors."""
-        return {"left": draw.whole((0, 6))}
+        return {"left": draw.integer((0, 6))}
 
 
 class NodeBanned(Fault, frozen=True, tag="node-banned"):
@@ -490,7 +494,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a downtime of at most 0.3 seconds."""
-        return {"down_s": draw.of((0.0, 0.3))}
+        return {"down_s": draw.uniform((0.0, 0.3))}
 
 
 class BadConfiguration(Fault, frozen=True, tag="bad-configuration"):
@@ -527,7 +531,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw 3 to 200 milliseconds of added latency."""
-        return {"by_s": draw.log((0.003, 0.2))}
+        return {"by_s": draw.log_uniform((0.003, 0.2))}
 
 
 class LinkJitter(Fault, frozen=True, tag="link-jitter"):
@@ -560,7 +564,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the period between resets and a fraction of 0.2 to 1 of the connections."""
-        return {"every_s": draw.log((0.05, 0.5)), "part": draw.of((0.2, 1.0))}
+        return {"every_s": draw.log_uniform((0.05, 0.5)), "part": draw.uniform((0.2, 1.0))}
 
 
 class ConnectionsStalled(Fault, frozen=True, tag="connections-silent"):
@@ -571,7 +575,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a fraction of 0.3 to 1 of the connections."""
-        return {"part": draw.of((0.3, 1.0))}
+        return {"part": draw.uniform((0.3, 1.0))}
 
 
 class ZonePowerLoss(Fault, frozen=True, tag="zone-lost"):
@@ -596,7 +600,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw a period short enough for several failures within a run."""
-        return {"every_s": draw.of((0.15, 0.7)), "how": draw.rng.choice(("power", "cut"))}
+        return {"every_s": draw.uniform((0.15, 0.7)), "how": draw.rng.choice(("power", "cut"))}
 
 
 class ZoneUnreachable(Fault, frozen=True, tag="zone-unreachable"):
@@ -625,7 +629,11 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw every second to fifth request as slow, by a factor of 3 to 12."""
-        return {"every": draw.whole((2, 5)), "factor": draw.log((3.0, 12.0)), "resets": draw.of((0.0, 0.2))}
+        return {
+            "every": draw.integer((2, 5)),
+            "factor": draw.log_uniform((3.0, 12.0)),
+            "resets": draw.uniform((0.0, 0.2)),
+        }
 
 
 class ZoneDrained(Fault, frozen=True, tag="zone-drained"):
@@ -638,7 +646,7 @@
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw drains and gaps short enough for a run to contain the whole sequence."""
-        return {"gap_s": draw.of((0.0, 0.3)), "drain_s": draw.of((0.2, 0.8))}
+        return {"gap_s": draw.uniform((0.0, 0.3)), "drain_s": draw.uniform((0.2, 0.8))}
 
 
 class ZoneRulesRead(Fault, frozen=True, tag="zone-rules-read"):
@@ -766,8 +774,8 @@
 
 def _draw_fault(of: type[Fault], draw: Sampler, world: WorldSpec) -> Any:
     span = world.faults_s - FIRST_AT
-    length = draw.of((0.25 * span, 0.8 * span))
-    at = draw.of((FIRST_AT, max(FIRST_AT, world.faults_s - length)))
+    length = draw.uniform((0.25 * span, 0.8 * span))
+    at = draw.uniform((FIRST_AT, max(FIRST_AT, world.faults_s - length)))
     given = {"at_s": at, "for_s": round(min(length, world.faults_s - at), 4), **of.parameters(draw, world)}
     target = ""
     if not draw.chance(of.broad):
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -324,16 +324,16 @@
     def __init__(self, seed: int, purpose: str) -> None:
         self.rng = random.Random(f"{seed}/{purpose}")
 
-    def of(self, range_: Range) -> float:
+    def uniform(self, range_: Range) -> float:
         """Draw a value uniformly from a range, rounded to four significant digits."""
         return _round4(self.rng.uniform(*range_))
 
-    def log(self, range_: Range) -> float:
+    def log_uniform(self, range_: Range) -> float:
         """Draw a value whose logarithm is uniform over a range, rounded to four significant digits."""
         low, high = range_
         return _round4(math.exp(self.rng.uniform(math.log(low), math.log(high))))
 
-    def whole(self, range_: tuple[int, int] | Range) -> int:
+    def integer(self, range_: tuple[int, int] | Range) -> int:
         """Draw an integer from a range with inclusive bounds."""
         return self.rng.randint(int(range_[0]), int(range_[1]))
 
@@ -353,62 +353,65 @@
     draw = Sampler(seed, "world")
     classes = tuple(
         ClassSpec(
-            name=each.name, share=draw.of(each.share), work_s=draw.of(each.work_s),
-            spread=draw.of(each.spread), aim_s=each.aim_s, deadline_s=each.deadline_s, worth=each.worth,
+            name=each.name, share=draw.uniform(each.share), work_s=draw.uniform(each.work_s),
+            spread=draw.uniform(each.spread), aim_s=each.aim_s, deadline_s=each.deadline_s, worth=each.worth,
             late_worth=each.late_worth, unsafe=each.unsafe,
         )
         for each in ranges.classes
     )  # fmt: skip
     network = NetworkSpec(
-        same_zone_s=draw.of(ranges.same_zone_s), cross_zone_s=draw.of(ranges.cross_zone_s),
-        client_s=draw.of(ranges.client_s), jitter=draw.of(ranges.jitter), split=draw.of(ranges.split),
-        short_send=draw.of(ranges.short_send), short_receive=draw.of(ranges.short_receive),
-        buffer_bytes=int(draw.log(ranges.buffer_bytes)), aborted_accepts=0.02 if draw.chance(0.3) else 0.0,
+        same_zone_s=draw.uniform(ranges.same_zone_s), cross_zone_s=draw.uniform(ranges.cross_zone_s),
+        client_s=draw.uniform(ranges.client_s), jitter=draw.uniform(ranges.jitter),
+        split=draw.uniform(ranges.split),
+        short_send=draw.uniform(ranges.short_send), short_receive=draw.uniform(ranges.short_receive),
+        buffer_bytes=int(draw.log_uniform(ranges.buffer_bytes)),
+        aborted_accepts=0.02 if draw.chance(0.3) else 0.0,
     )  # fmt: skip
-    fall = Sampler(seed, "fall").of(ranges.fall_s)
+    fall = Sampler(seed, "fall").uniform(ranges.fall_s)
     nodes = _draw_nodes(Sampler(seed, "nodes"), ranges, fall)
     capacity = sum(node.settings.cores * node.settings.speed for node in nodes if not node.spare)
     mean_work = sum(each.share * each.work_s for each in classes) / sum(each.share for each in classes)
-    rate = draw.of(ranges.requests_per_s)
+    rate = draw.uniform(ranges.requests_per_s)
     # The request rate is limited by the cost of a run, so the work per request is scaled to reach the load.
-    stretch = draw.of(ranges.load) * capacity / (rate * mean_work)
+    stretch = draw.uniform(ranges.load) * capacity / (rate * mean_work)
     stretch = min(1.6, max(0.5, stretch))
     classes = tuple(msgspec.structs.replace(each, work_s=_round4(each.work_s * stretch)) for each in classes)
     draw = Sampler(seed, "front")
-    count = draw.whole(ranges.sidecars)
+    count = draw.integer(ranges.sidecars)
     sidecars = tuple(
         SidecarSpec(
-            name=f"n{number}", zone=draw.rng.choice(ranges.zones), sockets=draw.whole(ranges.sockets),
+            name=f"n{number}", zone=draw.rng.choice(ranges.zones), sockets=draw.integer(ranges.sockets),
             known=draw.rng.choice(("fresh", "fresh", "old", "none")),
         )
         for number in range(count)
     )  # fmt: skip
     clients = ClientSettings(
-        tries=draw.whole(ranges.tries), try_part=draw.of(ranges.try_part),
-        backoff=draw.rng.choice(("none", "fixed", "exponential")), backoff_s=draw.of(ranges.backoff_s),
-        honour=draw.of(ranges.honour), marks_retry=draw.chance(0.5),
-        impatient=draw.of(ranges.impatient) if draw.chance(0.3) else 0.0,
+        tries=draw.integer(ranges.tries), try_part=draw.uniform(ranges.try_part),
+        backoff=draw.rng.choice(("none", "fixed", "exponential")), backoff_s=draw.uniform(ranges.backoff_s),
+        honour=draw.uniform(ranges.honour), marks_retry=draw.chance(0.5),
+        impatient=draw.uniform(ranges.impatient) if draw.chance(0.3) else 0.0,
     )  # fmt: skip
     discovery = DiscoverySettings(
-        call_s=draw.log(ranges.call_s), line_s=draw.log(ranges.line_s), spread_s=draw.of(ranges.spread_s),
+        call_s=draw.log_uniform(ranges.call_s), line_s=draw.log_uniform(ranges.line_s),
+        spread_s=draw.uniform(ranges.spread_s),
         fails_by=draw.rng.choice(("503", "reset")),
     )  # fmt: skip
-    faults_s = draw.of(ranges.faults_s)
+    faults_s = draw.uniform(ranges.faults_s)
     opening = Sampler(seed, "opening")
-    opens, crowd = opening.of(ranges.opens), opening.of(ranges.crowd)
+    opens, crowd = opening.uniform(ranges.opens), opening.uniform(ranges.crowd)
     opens, crowd = (_round4(opens * faults_s), crowd) if opening.chance(0.4) else (0.0, 0.0)
     return WorldSpec(
-        length_s=_round4(faults_s + draw.of(ranges.after_s)), faults_s=faults_s, zones=ranges.zones,
+        length_s=_round4(faults_s + draw.uniform(ranges.after_s)), faults_s=faults_s, zones=ranges.zones,
         sidecars=sidecars, nodes=nodes, classes=classes,
         tenants=tuple(
-            TenantSpec(name=name, share=share, usage=draw.of(ranges.usage))
+            TenantSpec(name=name, share=share, usage=draw.uniform(ranges.usage))
             for name, share in ranges.tenants
         ),
         requests_per_s=rate, opens_s=opens, crowd=crowd, discovery=discovery,
-        notice_s=draw.of(ranges.notice_s), silent_notice_s=draw.of(ranges.silent_notice_s),
+        notice_s=draw.uniform(ranges.notice_s), silent_notice_s=draw.uniform(ranges.silent_notice_s),
         network=network, clients=clients,
         rules=RuleSpec(
-            must_ask_s=draw.of(ranges.must_ask_s), second_copies=draw.chance(0.8), fall_s=fall,
+            must_ask_s=draw.uniform(ranges.must_ask_s), second_copies=draw.chance(0.8), fall_s=fall,
             max_attempts=draw.rng.choice((2, 3, 4, 6)),
         ),
     )  # fmt: skip
@@ -416,19 +419,19 @@
 
 def _draw_nodes(draw: Sampler, ranges: Ranges, fall_s: float) -> tuple[NodeSpec, ...]:
     """Draw the initial nodes, then the spares, with each kind and as many of the zones as possible."""
-    count, spares = draw.whole(ranges.nodes), draw.whole(ranges.spares)
-    shares = [draw.of(kind.share) for kind in ranges.kinds]
+    count, spares = draw.integer(ranges.nodes), draw.integer(ranges.spares)
+    shares = [draw.uniform(kind.share) for kind in ranges.kinds]
     # These settings are common to all nodes of a fleet.
-    period, delay = draw.of(ranges.report_period_s), draw.of(ranges.report_delay_s)
-    noise, idle = draw.log(ranges.report_noise), draw.log(ranges.idle_s)
-    handshake, handshake_work = draw.of(ranges.handshake_s), draw.of(ranges.handshake_work_s)
+    period, delay = draw.uniform(ranges.report_period_s), draw.uniform(ranges.report_delay_s)
+    noise, idle = draw.log_uniform(ranges.report_noise), draw.log_uniform(ranges.idle_s)
+    handshake, handshake_work = draw.uniform(ranges.handshake_s), draw.uniform(ranges.handshake_work_s)
     cancels: tuple[Literal["none", "queued", "all"], ...] = ("none", "queued", "all")
     warmths: tuple[Literal["time", "work"], ...] = ("time", "work", "work")
     cancel, drops = draw.rng.choice(cancels), draw.chance(0.3)
     refuses, warm_by = draw.chance(0.5), draw.rng.choice(warmths)
-    tax, work_noise = draw.of(ranges.full_tax), draw.of(ranges.work_noise)
-    speeds = [draw.of(kind.speed) for kind in ranges.kinds]
-    spreads = [draw.of(kind.speed_spread) for kind in ranges.kinds]
+    tax, work_noise = draw.uniform(ranges.full_tax), draw.uniform(ranges.work_noise)
+    speeds = [draw.uniform(kind.speed) for kind in ranges.kinds]
+    spreads = [draw.uniform(kind.speed_spread) for kind in ranges.kinds]
     nodes: list[NodeSpec] = []
     for number in range(count + spares):
         at = number if number < len(ranges.kinds) else _draw_index(draw, shares)
@@ -436,12 +439,13 @@
         settings = NodeSettings(
             cores=kind.cores,
             speed=_round4(max(0.2, speeds[at] * (1 + spreads[at] * draw.rng.uniform(-1, 1)))),
-            queue_per_core=draw.whole(kind.queue_per_core), thrash=draw.of(kind.thrash),
-            thrash_at=draw.of(kind.thrash_at), cold_from=draw.of(kind.cold_from), cold_s=draw.of(kind.cold_s),
-            warm_by=warm_by, connections=int(draw.log(ranges.connections)), full_tax=tax,
+            queue_per_core=draw.integer(kind.queue_per_core), thrash=draw.uniform(kind.thrash),
+            thrash_at=draw.uniform(kind.thrash_at), cold_from=draw.uniform(kind.cold_from),
+            cold_s=draw.uniform(kind.cold_s),
+            warm_by=warm_by, connections=int(draw.log_uniform(ranges.connections)), full_tax=tax,
             fall_s=fall_s, handshake_s=handshake, handshake_work_s=handshake_work, idle_s=idle,
             report_period_s=period, report_delay_s=delay, report_noise=noise,
-            error_rate=draw.of(ranges.error_rate), cancel=cancel, drops_overdue=drops,
+            error_rate=draw.uniform(ranges.error_rate), cancel=cancel, drops_overdue=drops,
             drain_refuses=refuses, work_noise=work_noise,
         )  # fmt: skip
         nodes.append(
--- a/brambleusher/lab/fleets/scenario.py
+++ b/brambleusher/lab/fleets/scenario.py
@@ -38,7 +38,7 @@
 def draw_rules(seed: int, world: WorldSpec) -> dict[str, Any]:
     """Draw the section on zones of an operator file."""
     draw = Sampler(seed, "zone rules")
-    rules: dict[str, Any] = {"half_life_s": draw.of((1.0, 4.0)), "hold_most_s": draw.of((1.0, 6.0))}
+    rules: dict[str, Any] = {"half_life_s": draw.uniform((1.0, 4.0)), "hold_most_s": draw.uniform((1.0, 6.0))}
     if draw.chance(0.5):
         order = {}
         for zone in world.zones:
@@ -49,7 +49,11 @@
             )
         rules["neighbours"] = order
     if draw.chance(0.5):
-        rules |= {"spill": draw.of((0.1, 1.5)), "strain": draw.of((0.7, 1.0)), "panic": draw.of((0.0, 0.8))}
+        rules |= {
+            "spill": draw.uniform((0.1, 1.5)),
+            "strain": draw.uniform((0.7, 1.0)),
+            "panic": draw.uniform((0.0, 0.8)),
+        }
     return rules
 
 
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -57,23 +57,26 @@
 def _world(seed: int, sidecars: int, count: int, length_s: float) -> WorldSpec:
     draw, zones = Sampler(seed, "mass"), Ranges().zones
     classes = (
-        ClassSpec(name="listing-lookup", share=0.44, work_s=draw.of((0.048, 0.087)), spread=0.8,
+        ClassSpec(name="listing-lookup", share=0.44, work_s=draw.uniform((0.048, 0.087)), spread=0.8,
                      aim_s=1.0, deadline_s=2.0, worth=1.0, late_worth=0.2),
-        ClassSpec(name="price-check", share=0.28, work_s=draw.of((0.086, 0.16)), spread=0.8,
+        ClassSpec(name="price-check", share=0.28, work_s=draw.uniform((0.086, 0.16)), spread=0.8,
                      aim_s=1.5, deadline_s=4.0, worth=5.0, late_worth=0.5),
-        ClassSpec(name="transfer-record", share=0.28, work_s=draw.of((0.14, 0.24)), spread=0.8,
+        ClassSpec(name="transfer-record", share=0.28, work_s=draw.uniform((0.14, 0.24)), spread=0.8,
                      aim_s=1.5, deadline_s=6.0, worth=2.0, late_worth=0.3, unsafe=True),
     )  # fmt: skip
     usual = NodeSettings(
-        cold_from=draw.of((0.17, 0.34)), cold_s=draw.of((10.0, 21.0)), warm_by="work", warm_work=0.3,
-        connections=draw.whole((40, 160)), full_tax=draw.of((0.16, 0.38)), handshake_s=0.0012,
-        handshake_work_s=draw.of((0.00088, 0.0015)), idle_s=30.0, queue_per_core=300, thrash=0.08,
-        thrash_at=10.0, report_period_s=draw.of((0.55, 1.5)), report_delay_s=draw.of((0.13, 0.37)),
+        cold_from=draw.uniform((0.17, 0.34)), cold_s=draw.uniform((10.0, 21.0)), warm_by="work",
+        warm_work=0.3,
+        connections=draw.integer((40, 160)), full_tax=draw.uniform((0.16, 0.38)), handshake_s=0.0012,
+        handshake_work_s=draw.uniform((0.00088, 0.0015)), idle_s=30.0, queue_per_core=300, thrash=0.08,
+        thrash_at=10.0, report_period_s=draw.uniform((0.55, 1.5)), report_delay_s=draw.uniform((0.13, 0.37)),
         report_noise=0.03, work_noise=0.2, error_rate=0.001, cancel="queued",
     )  # fmt: skip
     nodes = []
     for number in range(count):
-        cores, speed = (2, draw.of((0.85, 1.1))) if draw.chance(0.67) else (1, draw.of((0.64, 0.86)))
+        cores, speed = (
+            (2, draw.uniform((0.85, 1.1))) if draw.chance(0.67) else (1, draw.uniform((0.64, 0.86)))
+        )
         nodes.append(
             NodeSpec(
                 id=f"s-{draw.rng.getrandbits(32):08x}", zone=zones[number % len(zones)],
@@ -83,7 +86,7 @@
         )  # fmt: skip
     capacity = sum(node.settings.cores * node.settings.speed for node in nodes)
     work = sum(each.share * each.work_s for each in classes)
-    tries = draw.whole((1, 3))
+    tries = draw.integer((1, 3))
     return WorldSpec(
         length_s=length_s,
         faults_s=min(FAULTS_S, length_s * 0.6),
@@ -97,16 +100,16 @@
         ),
         nodes=tuple(nodes),
         classes=classes,
-        tenants=(TenantSpec(name="peach-seats", share=0.8, usage=draw.of((0.54, 1.4))),
-                 TenantSpec(name="red-clay-tix", share=0.2, usage=draw.of((0.7, 1.2)))),
-        requests_per_s=draw.of((0.5, 0.65)) * capacity / work,
+        tenants=(TenantSpec(name="peach-seats", share=0.8, usage=draw.uniform((0.54, 1.4))),
+                 TenantSpec(name="red-clay-tix", share=0.2, usage=draw.uniform((0.7, 1.2)))),
+        requests_per_s=draw.uniform((0.5, 0.65)) * capacity / work,
         # As many calls as the deployment's roster bears, for a fleet that is so much larger.
-        discovery=DiscoverySettings(call_s=draw.of((0.006, 0.012)), line_s=0.0001, spread_s=0.05),
-        notice_s=draw.of((1.3, 2.3)),
-        silent_notice_s=draw.of((4.5, 8.0)),
-        network=NetworkSpec(same_zone_s=0.0002, cross_zone_s=draw.of((0.00042, 0.00078))),
+        discovery=DiscoverySettings(call_s=draw.uniform((0.006, 0.012)), line_s=0.0001, spread_s=0.05),
+        notice_s=draw.uniform((1.3, 2.3)),
+        silent_notice_s=draw.uniform((4.5, 8.0)),
+        network=NetworkSpec(same_zone_s=0.0002, cross_zone_s=draw.uniform((0.00042, 0.00078))),
         clients=ClientSettings(
-            tries=tries, try_part=draw.of((0.5, 1.0)), backoff_s=draw.of((0.05, 0.4)), hints="rough"
+            tries=tries, try_part=draw.uniform((0.5, 1.0)), backoff_s=draw.uniform((0.05, 0.4)), hints="rough"
         ),
         rules=RuleSpec(fall_s=3.0, fall_multiple=4.0, must_ask_s=10.0),
         processor=PROCESSOR,
@@ -117,7 +120,7 @@
     """Arrivals at random, with a burst, sidecars having unequal parts that shift between zones."""
     rng = draw.rng
     parts = [min(rng.paretovariate(PARETO) / 3.0, MOST_OF_MEAN) for _ in world.sidecars]
-    burst = draw.of((0.2, 0.5)) * world.length_s
+    burst = draw.uniform((0.2, 0.5)) * world.length_s
     favoured = rng.choice(world.zones)
     shifted = [
         part * (1.4 if own.zone == favoured else 0.87)
@@ -175,7 +178,7 @@
 def _slow(draw: Sampler, world: WorldSpec, part: float) -> list[Any]:
     begin, length = _span(world, 1.0)
     return [
-        faults.NodeSlow(at_s=begin, for_s=length, target=name, factor=draw.of((3.0, 9.0)))
+        faults.NodeSlow(at_s=begin, for_s=length, target=name, factor=draw.uniform((3.0, 9.0)))
         for name in _some(draw, world, part)
     ]
 
