--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -25,7 +25,7 @@
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.real_fleet import RealFleet
 from brambleusher.lab.stand_ins.node import Execution
-from brambleusher.lab.stand_ins.settings import Ask
+from brambleusher.lab.stand_ins.settings import PlannedRequest
 from brambleusher.lab.virtual.world import START_NS, WALL_NS, Tap
 from brambleusher.load.fidelity import Heard, compared
 from brambleusher.load.pacing import Pace
@@ -91,7 +91,7 @@
     world = cell.figures.world_spec(span_s + 0.001)
     if direct:
         world = msgspec.structs.replace(world, sidecars=())
-    sample = Ask(id="sample", at_s=0.0, request_class=world.classes[0].name)
+    sample = PlannedRequest(id="sample", at_s=0.0, request_class=world.classes[0].name)
     scenario = Scenario(seed=cell.seed, world=world, asks=(sample,), faults=cell.figures.faults)
     tally, notes = Tally(world, cell.speed, span_s), list[Heard]()
 
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -14,12 +14,12 @@
 import msgspec
 
 from brambleusher.lab.stand_ins.settings import (
-    Ask,
     ClientSettings,
     Count,
     DiscoverySettings,
     NodeSettings,
     Part,
+    PlannedRequest,
     Positive,
     Seconds,
     Settings,
@@ -476,7 +476,7 @@
 CALM_AFTER_S = 0.5
 
 
-def draw_asks(seed: int, world: WorldSpec) -> tuple[Ask, ...]:
+def draw_asks(seed: int, world: WorldSpec) -> tuple[PlannedRequest, ...]:
     """Draw the requests of a run, with random arrival times and in some worlds a crowd."""
     draw = Sampler(seed, "asks")
     rng = draw.rng
@@ -508,7 +508,7 @@
         if world.tenants:
             tenant = rng.choices(world.tenants, [each.share for each in world.tenants])[0].name
         asks.append(
-            Ask(
+            PlannedRequest(
                 id=f"{rng.getrandbits(64):016x}", at_s=at, request_class=chosen.name, unsafe=chosen.unsafe,
                 tenant=tenant, wait_s=chosen.deadline_s, work_s=_round4(work),
                 hint_s=_round4(work * math.exp(rng.gauss(0, 0.4))) if world.clients.hints == "rough" else 0.0,
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -29,9 +29,9 @@
 )
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.stage import Machine, Process, Stage
-from brambleusher.lab.stand_ins.bad_client import BadClients, Misdeed
-from brambleusher.lab.stand_ins.client import LINGER_SECONDS, Asked, Client
-from brambleusher.lab.stand_ins.discovery import Discovery, Entry, Telling
+from brambleusher.lab.stand_ins.bad_client import BadClients, BadConnection
+from brambleusher.lab.stand_ins.client import LINGER_SECONDS, Client, SentRequest
+from brambleusher.lab.stand_ins.discovery import Discovery, Entry, SentUpdate
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.lab.stand_ins.operators import Operators
 from brambleusher.lab.stand_ins.server import ActiveFaults, Server
@@ -320,7 +320,7 @@
         self.machine = fleet.world.machine("discovery", "10.2.0.1")
         self.version = 1
         self.list: dict[str, Entry] = {}
-        self.told: list[Telling] = []
+        self.told: list[SentUpdate] = []
         self.active_faults = ActiveFaults()
         self.service: Discovery | None = None
         self.process: Process | None = None
@@ -631,8 +631,8 @@
         self.scenario, self.world = scenario, world
         self.monitor: FleetMonitor = monitor or _NullMonitor()
         self.executions: list[Execution] = []  # executions of all nodes, in order of arrival
-        self.asked: list[Asked] = []  # requests of all clients
-        self.misdeeds: list[Misdeed] = []
+        self.asked: list[SentRequest] = []  # requests of all clients
+        self.misdeeds: list[BadConnection] = []
         spec = scenario.world
         self.discovery = DiscoveryInstance(self)
         self.node_instances = [
--- a/brambleusher/lab/fleets/scenario.py
+++ b/brambleusher/lab/fleets/scenario.py
@@ -9,7 +9,7 @@
 
 from brambleusher.lab.faults.kinds import AnyFault, check_faults, draw_faults
 from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_asks, draw_world
-from brambleusher.lab.stand_ins.settings import Ask, Settings
+from brambleusher.lab.stand_ins.settings import PlannedRequest, Settings
 
 FORMAT = 1
 
@@ -23,7 +23,7 @@
 
     seed: int
     world: WorldSpec
-    asks: tuple[Ask, ...]
+    asks: tuple[PlannedRequest, ...]
     faults: tuple[AnyFault, ...]
     profile: str = "default"
     format: Annotated[int, msgspec.Meta(ge=FORMAT, le=FORMAT)] = FORMAT
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -25,7 +25,7 @@
 from brambleusher.lab.processes.fleet import PairAudience, RealFleet, raise_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import Watch
-from brambleusher.lab.stand_ins.settings import Ask, Part, Positive, Seconds, Settings
+from brambleusher.lab.stand_ins.settings import Part, PlannedRequest, Positive, Seconds, Settings
 from brambleusher.lab.virtual.explore import Raised, fleet_limits, listening
 from brambleusher.lab.virtual.world import Tap
 
@@ -130,7 +130,7 @@
     )  # fmt: skip
 
 
-def _asks(seed: int, world: WorldSpec) -> tuple[Ask, ...]:
+def _asks(seed: int, world: WorldSpec) -> tuple[PlannedRequest, ...]:
     """Arrivals at random, evenly over the sidecars."""
     rng = Sampler(seed, "drill asks").rng
     asks, at = [], 0.0
@@ -139,7 +139,7 @@
         tenant = rng.choices(world.tenants, [each.share for each in world.tenants])[0].name
         work = of.draw_work(rng)
         asks.append(
-            Ask(
+            PlannedRequest(
                 id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5), request_class=of.name, unsafe=of.unsafe,
                 tenant=tenant if world.tenants else "", wait_s=of.deadline_s, work_s=round(work, 5),
                 hint_s=round(work * math.exp(rng.gauss(0, 0.4)), 5), body_bytes=200 if of.unsafe else 0,
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -17,7 +17,7 @@
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.parent import tied_to
 from brambleusher.lab.processes.stage import RealStage
-from brambleusher.lab.stand_ins.client import says_ready
+from brambleusher.lab.stand_ins.client import reports_ready
 from brambleusher.lab.stand_ins.discovery import Entry
 from brambleusher.net.http import HttpError
 from brambleusher.runtime.scheduler import TaskTimeoutError
@@ -208,7 +208,7 @@
                 self.stage.network.heard(self.address, True)
                 if self.fleet.has_operators:
                     self.stage.network.heard(self.admin, True)
-                self.ready = says_ready(stream, deadline)
+                self.ready = reports_ready(stream, deadline)
             except (OSError, TaskTimeoutError, HttpError):
                 pass
             finally:
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -25,7 +25,7 @@
 from brambleusher.lab.fleets.fleet import configuration
 from brambleusher.lab.fleets.worlds import WorldFile
 from brambleusher.lab.processes.parent import tied_to
-from brambleusher.lab.stand_ins.client import says_ready
+from brambleusher.lab.stand_ins.client import reports_ready
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.net.http import HttpError
@@ -202,7 +202,7 @@
         except (OSError, TaskTimeoutError):
             return False
         try:
-            return says_ready(stream, deadline)
+            return reports_ready(stream, deadline)
         except (OSError, TaskTimeoutError, HttpError):
             return False
         finally:
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import Literal, get_args
 
-from brambleusher.lab.stand_ins.client import wording_of
-from brambleusher.lab.stand_ins.settings import Ask
+from brambleusher.lab.stand_ins.client import serialize_request
+from brambleusher.lab.stand_ins.settings import PlannedRequest
 from brambleusher.runtime.scheduler import Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
@@ -28,7 +28,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Misdeed:
+class BadConnection:
     """A misbehaving connection, and the response to it.  Times are in monotonic nanoseconds."""
 
     kind: BadKind
@@ -55,11 +55,11 @@
         self,
         scheduler: Scheduler,
         target: Address,
-        sample: Ask,
+        sample: PlannedRequest,
         seed: int = 0,
         *,
         in_use: Callable[[], list[str]] = list,
-        book: MutableSequence[Misdeed] | None = None,
+        book: MutableSequence[BadConnection] | None = None,
     ) -> None:
         """Initialize the clients.
 
@@ -67,7 +67,7 @@
         """
         self.scheduler, self.target, self._sample, self._in_use = scheduler, target, sample, in_use
         self.rng = random.Random(f"{seed}/bad/{target[0]}:{target[1]}")
-        self.book: MutableSequence[Misdeed] = [] if book is None else book
+        self.book: MutableSequence[BadConnection] = [] if book is None else book
         self._tasks: dict[int, Task] = {}
         self._number = 0
         self._seed = seed
@@ -82,7 +82,7 @@
         numbers = []
         for _ in range(count):
             self._number += 1
-            deed = Misdeed(kind)
+            deed = BadConnection(kind)
             self.book.append(deed)
             self._tasks[self._number] = self.scheduler.spawn(
                 self._run, deed, self._number, patience, name=f"bad {kind}"
@@ -98,7 +98,7 @@
 
     # --- one client -----------------------------------------------------------------------------
 
-    def _run(self, deed: Misdeed, number: int, patience: float) -> None:
+    def _run(self, deed: BadConnection, number: int, patience: float) -> None:
         scheduler = self.scheduler
         until = scheduler.now() + patience
         stream: Stream | None = None
@@ -122,30 +122,30 @@
             if stream is not None:
                 stream.close()
 
-    def _valid_request(self, deed: Misdeed, number: int, nth: int = 0, wait: float = 1.0) -> bytes:
+    def _valid_request(self, deed: BadConnection, number: int, nth: int = 0, wait: float = 1.0) -> bytes:
         """Return the bytes of a valid request."""
         name = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}{nth:03x}"
         deed.ids.append(name)
-        return wording_of(self._sample, name, wait)
+        return serialize_request(self._sample, name, wait)
 
-    def _send(self, deed: Misdeed, stream: Stream, data: bytes, until: float) -> None:
+    def _send(self, deed: BadConnection, stream: Stream, data: bytes, until: float) -> None:
         """Send bytes; a full send buffer delays this until the deadline `until`."""
         stream.send(data, until)
         deed.sent_ns = self.scheduler.system.monotonic_ns()
 
-    def _read(self, deed: Misdeed, stream: Stream, until: float) -> None:
+    def _read(self, deed: BadConnection, stream: Stream, until: float) -> None:
         """Read until the connection ends."""
         while data := stream.receive(until):
             self._record(deed, data)
 
-    def _await_response(self, deed: Misdeed, stream: Stream, until: float) -> None:
+    def _await_response(self, deed: BadConnection, stream: Stream, until: float) -> None:
         """Read the first bytes of a response."""
         data = stream.receive(until)
         if not data:
             raise ConnectionResetError("the connection was closed without a response")
         self._record(deed, data)
 
-    def _record(self, deed: Misdeed, data: bytes) -> None:
+    def _record(self, deed: BadConnection, data: bytes) -> None:
         if not deed.got_bytes:
             deed.told_ns = self.scheduler.system.monotonic_ns()
         deed.got_bytes += len(data)
@@ -153,15 +153,15 @@
 
     def _invalid_request(self, old: bytes, new: bytes, number: int) -> bytes:
         """Return a valid request with one error, whose id is not among those that may be served."""
-        return self._valid_request(Misdeed("noise"), number).replace(old, new, 1)
+        return self._valid_request(BadConnection("noise"), number).replace(old, new, 1)
 
     # --- the kinds ------------------------------------------------------------------------------
 
-    def _half_request(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        data = self._valid_request(Misdeed(deed.kind), number)
+    def _half_request(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+        data = self._valid_request(BadConnection(deed.kind), number)
         self._send(deed, stream, data[: len(data) // 2], until)
 
-    def _half_and_close(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _half_and_close(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._half_request(deed, stream, number, until)
         self.scheduler.sleep(0.1 * self.rng.random())
         raise _Left
@@ -181,21 +181,21 @@
             lines.append(f"{name}: {value}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
-    def _negative_length(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _negative_length(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._request_with("Content-Length", "-20") + b"x" * 20, until)
 
-    def _huge_length(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _huge_length(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._request_with("Content-Length", str(1 << 62)) + b"x" * 20, until)
 
-    def _huge_body(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _huge_body(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         size = 256 * 1024
         self._send(deed, stream, self._request_with("Content-Length", str(size)) + b"x" * size, until)
 
-    def _bad_length(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _bad_length(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._request_with("Content-Length", "0x14") + b"x" * 20, until)
 
-    def _both_framings(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
-        inner = self._valid_request(Misdeed(deed.kind), number, 0xFFF)
+    def _both_framings(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+        inner = self._valid_request(BadConnection(deed.kind), number, 0xFFF)
         deed.hidden = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}fff"
         body = b"0\r\n\r\n" + inner
         head = (
@@ -203,26 +203,26 @@
         )
         self._send(deed, stream, head + body, until)
 
-    def _two_lengths(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _two_lengths(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         head = self._request_with("Content-Length", "5")[:-2] + b"Content-Length: 25\r\n\r\n"
         self._send(deed, stream, head + b"x" * 25, until)
 
-    def _id_in_use(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _id_in_use(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         ids = self._in_use()
         if not ids:
             raise _Left
         name = ids[self.rng.randrange(len(ids))]
-        self._send(deed, stream, wording_of(self._sample, name, 1.0), until)
+        self._send(deed, stream, serialize_request(self._sample, name, 1.0), until)
 
-    def _pipelining(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _pipelining(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, b"".join(self._valid_request(deed, number, nth) for nth in range(4)), until)
 
-    def _leaving(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _leaving(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._valid_request(deed, number), until)
         self.scheduler.sleep(0.1 * self.rng.random())
         raise _Left
 
-    def _slow_reading(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _slow_reading(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._valid_request(deed, number), until)
         while self.scheduler.now() < until:
             self.scheduler.park(until, stream.sock)
@@ -232,44 +232,44 @@
             self._record(deed, data)
             self.scheduler.sleep(SLOW_PAUSE)
 
-    def _slow_writing(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _slow_writing(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         data = self._valid_request(deed, number)
         for at in range(len(data)):
             self._send(deed, stream, data[at : at + 1], until)
             self.scheduler.sleep(SLOW_PAUSE / 2)
 
-    def _silent(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _silent(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         """Send nothing."""
 
-    def _ask_and_stay(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _ask_and_stay(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._valid_request(deed, number), until)
 
-    def _endless_head(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _endless_head(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._request_with("Content-Length", "0")[:-2], until)
         while self.scheduler.now() < until:
             self._send(deed, stream, b"X-More: " + b"m" * 500 + b"\r\n", until)
             self.scheduler.sleep(SLOW_PAUSE)
 
-    def _unknown_class(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _unknown_class(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         known = self._sample.request_class.encode()
         self._send(deed, stream, self._invalid_request(known, b"no-such-class", number), until)
 
-    def _no_id(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _no_id(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._request_with("Request-Id", ""), until)
 
-    def _bad_deadline(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _bad_deadline(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self._request_with("Request-Timeout-Ms", "soon"), until)
 
-    def _noise(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _noise(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         self._send(deed, stream, self.rng.randbytes(300), until)
 
-    def _again_at_once(self, deed: Misdeed, stream: Stream, number: int, until: float) -> None:
+    def _again_at_once(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
         """Send a request again immediately after each response, five times."""
         for nth in range(5):
             self._send(deed, stream, self._valid_request(deed, number, nth), until)
             self._await_response(deed, stream, until)
 
 
-_DEEDS: dict[BadKind, Callable[[BadClients, Misdeed, Stream, int, float], None]] = {
+_DEEDS: dict[BadKind, Callable[[BadClients, BadConnection, Stream, int, float], None]] = {
     kind: getattr(BadClients, "_" + kind.replace("-", "_")) for kind in BAD_KINDS
 }
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from brambleusher.lab.stand_ins.node import WORK_HEADER
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings
+from brambleusher.lab.stand_ins.settings import ClientSettings, PlannedRequest
 from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_request
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
@@ -22,10 +22,10 @@
 
 
 @dataclass(eq=False, slots=True)
-class Try:
+class RequestAttempt:
     """An attempt: a request sent to a sidecar, and its outcome.  Times are in monotonic nanoseconds."""
 
-    ask: Ask
+    ask: PlannedRequest
     id: str
     number: int  # index of the attempt among those of the request, from 0
     wait_s: float  # time limit sent to the sidecar
@@ -41,12 +41,12 @@
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
+class SentRequest:
     """A client request with all its attempts."""
 
-    ask: Ask
+    ask: PlannedRequest
     due_ns: int  # scheduled time of sending
-    tries: list[Try] = field(default_factory=list)
+    tries: list[RequestAttempt] = field(default_factory=list)
     over: bool = False
 
     @property
@@ -55,7 +55,7 @@
         return bool(self.tries) and self.tries[-1].end == "answered" and self.tries[-1].status == 200
 
 
-def headers_of(ask: Ask, name: str, wait_s: float, retry: bool) -> list[HeaderField]:
+def headers_for(ask: PlannedRequest, name: str, wait_s: float, retry: bool) -> list[HeaderField]:
     """Return a request's headers, except for its length."""
     fields: list[HeaderField] = [
         ("Host", "api.internal"),
@@ -73,18 +73,18 @@
     return fields
 
 
-def wording_of(ask: Ask, name: str, wait_s: float, retry: bool = False) -> bytes:
+def serialize_request(ask: PlannedRequest, name: str, wait_s: float, retry: bool = False) -> bytes:
     """Return the bytes of a request; its body contains the id, so that a misdirected body can be detected."""
     target = f"/{ask.request_class}?obj={ask.id[:8]}"
     body = b""
     if ask.unsafe:
         text = f"record {name} ".encode()
         body = text + b"r" * max(0, ask.body_bytes - len(text))
-    return write_request("POST" if ask.unsafe else "GET", target, headers_of(ask, name, wait_s, retry), body)
+    return write_request("POST" if ask.unsafe else "GET", target, headers_for(ask, name, wait_s, retry), body)
 
 
-def pause_before_next(
-    last: Try, settings: ClientSettings, rng: random.Random, now_s: float, due_s: float
+def retry_delay_s(
+    last: RequestAttempt, settings: ClientSettings, rng: random.Random, now_s: float, due_s: float
 ) -> float | None:
     """Return the time to wait before another attempt, in seconds; None for no further attempt.
 
@@ -107,7 +107,7 @@
     return pause if now_s + pause + SHORTEST_WAIT < due_s else None
 
 
-def says_ready(stream: Stream, deadline: float) -> bool:
+def reports_ready(stream: Stream, deadline: float) -> bool:
     """Return whether a sidecar reports ready; raises `OSError`, `TaskTimeoutError` or `HttpError`."""
     stream.send(write_request("GET", "/ready", [("Host", "api.internal")]), deadline)
     answer = Client.answer(stream, deadline, [])
@@ -122,14 +122,14 @@
         scheduler: Scheduler,
         settings: ClientSettings,
         target: Address,
-        asks: Iterable[Ask],
+        asks: Iterable[PlannedRequest],
         seed: int = 0,
         *,
-        book: MutableSequence[Asked] | None = None,
+        book: MutableSequence[SentRequest] | None = None,
     ) -> None:
         self.scheduler, self.settings, self.target = scheduler, settings, target
         self.rng = random.Random(f"{seed}/client/{target[0]}:{target[1]}")
-        self.book: MutableSequence[Asked] = [] if book is None else book
+        self.book: MutableSequence[SentRequest] = [] if book is None else book
         self._asks = sorted(asks, key=lambda ask: (ask.at_s, ask.id))
         self._idle: list[Stream] = []
         self.linger_s = LINGER_SECONDS
@@ -187,7 +187,7 @@
         for ask in self._asks:
             if (wait := begin + ask.at_s - scheduler.now()) > 0:
                 scheduler.sleep(wait)
-            asked = Asked(ask, round((begin + ask.at_s) * 1e9))
+            asked = SentRequest(ask, round((begin + ask.at_s) * 1e9))
             self.book.append(asked)
             self._open_tasks[ask.id] = scheduler.spawn(self._run_request, asked, begin + ask.at_s, name="ask")
 
@@ -198,7 +198,7 @@
         except (OSError, TaskTimeoutError):
             return False
         try:
-            return says_ready(stream, deadline)
+            return reports_ready(stream, deadline)
         except (OSError, TaskTimeoutError, HttpError):
             return False
         finally:
@@ -206,7 +206,7 @@
 
     # --- one request ----------------------------------------------------------------------------
 
-    def _run_request(self, asked: Asked, began: float) -> None:
+    def _run_request(self, asked: SentRequest, began: float) -> None:
         """Make attempts until one succeeds or none is left."""
         ask, scheduler, settings = asked.ask, self.scheduler, self.settings
         due = began + ask.wait_s
@@ -215,14 +215,14 @@
                 number, now = len(asked.tries), scheduler.now()
                 wait = (due - now) * (settings.try_part if number + 1 < settings.tries else 1.0)
                 name = ask.id if not number else f"{ask.id}-{number}"
-                last = Try(ask, name, number, wait, scheduler.system.monotonic_ns())
+                last = RequestAttempt(ask, name, number, wait, scheduler.system.monotonic_ns())
                 asked.tries.append(last)
                 try:
                     self._attempt(last, now + wait)
                 finally:
                     last.ended_ns = scheduler.system.monotonic_ns()
                     last.end = last.end or "stopped"
-                pause = pause_before_next(last, settings, self.rng, scheduler.now(), due)
+                pause = retry_delay_s(last, settings, self.rng, scheduler.now(), due)
                 if pause is None:
                     return
                 if pause:
@@ -233,13 +233,13 @@
             if self.finished:
                 self.done.set()
 
-    def _attempt(self, entry: Try, deadline: float) -> None:
+    def _attempt(self, entry: RequestAttempt, deadline: float) -> None:
         """Make one attempt, on a second connection if the first was closed before the request was read."""
         rng, settings = self.rng, self.settings
         until = deadline
         if settings.impatient and rng.random() < settings.impatient:
             until -= (deadline - self.scheduler.now()) * rng.random()
-        data = wording_of(entry.ask, entry.id, entry.wait_s, entry.number > 0 and settings.marks_retry)
+        data = serialize_request(entry.ask, entry.id, entry.wait_s, entry.number > 0 and settings.marks_retry)
         stream, reused = self._take_idle(), True
         while True:
             if stream is None:
@@ -260,7 +260,7 @@
             entry.resent, stream = True, None
 
     def _exchange(
-        self, entry: Try, stream: Stream, data: bytes, until: float, deadline: float, reused: bool
+        self, entry: RequestAttempt, stream: Stream, data: bytes, until: float, deadline: float, reused: bool
     ) -> bool:
         """Write the request and read the response; return True if it must be resent on a new connection."""
         got: list[int] = []
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
+class SentUpdate:
     """A list or a change sent to one subscriber; `at_ns` is the time at which its last byte was written."""
 
     at_ns: int
@@ -112,7 +112,7 @@
         *,
         entries: Iterable[Entry] = (),
         version: int = 1,
-        told: MutableSequence[Telling] | None = None,
+        told: MutableSequence[SentUpdate] | None = None,
         seen: Callable[[str, Entry], Entry] | None = None,
     ) -> None:
         """Initialize the service; `seen` translates an entry for the subscriber at a given IP address."""
@@ -122,7 +122,7 @@
         self._entries: dict[str, tuple[int, Entry]] = {entry.id: (version, entry) for entry in entries}
         self._oldest = version  # oldest version from which changes are available
         self._previous: tuple[int, list[Entry]] | None = None  # previous version and its list
-        self.told: MutableSequence[Telling] = [] if told is None else told
+        self.told: MutableSequence[SentUpdate] = [] if told is None else told
         self.active_faults = ActiveFaults()
         self._watches: dict[int, _Watch] = {}
         self._free_at = 0.0  # time at which all accepted requests will have been answered
@@ -354,7 +354,7 @@
         self, connection: Connection, version: int, full: bool, entries: tuple[Entry, ...], sound: bool = True
     ) -> None:
         now = self.scheduler.system.monotonic_ns()
-        self.told.append(Telling(now, connection.peer, connection.number, version, full, entries, sound))
+        self.told.append(SentUpdate(now, connection.peer, connection.number, version, full, entries, sound))
 
 
 def _text(version: int, full: bool, entries: Iterable[Entry]) -> bytes:
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Called:
+class AdminCall:
     """A request of an operator and the status of its response; the time is in monotonic nanoseconds."""
 
     address: Address
@@ -33,7 +33,7 @@
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self.book: list[Called] = []
+        self.book: list[AdminCall] = []
         self._tasks: list[Task] = []
 
     def say(self, admin: Address, out: str, back: str) -> Callable[[], None]:
@@ -70,10 +70,10 @@
         for task in self._tasks:
             task.cancel()
 
-    def call(self, address: Address, method: str, target: str) -> Called:
+    def call(self, address: Address, method: str, target: str) -> AdminCall:
         """Send one request on a new connection."""
         scheduler = self.scheduler
-        called = Called(address, target, scheduler.system.monotonic_ns())
+        called = AdminCall(address, target, scheduler.system.monotonic_ns())
         self.book.append(called)
         until, stream = scheduler.now() + REQUEST_SECONDS, None
         try:
--- a/brambleusher/lab/stand_ins/settings.py
+++ b/brambleusher/lab/stand_ins/settings.py
@@ -78,7 +78,7 @@
     hints: Literal["none", "rough"] = "rough"
 
 
-class Ask(Settings, frozen=True):
+class PlannedRequest(Settings, frozen=True):
     """A request that a client sends at a set time, regardless of the outcome of earlier requests."""
 
     id: str
--- a/brambleusher/lab/virtual/mass.py
+++ b/brambleusher/lab/virtual/mass.py
@@ -27,7 +27,12 @@
     WorldSpec,
 )
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, DiscoverySettings, NodeSettings
+from brambleusher.lab.stand_ins.settings import (
+    ClientSettings,
+    DiscoverySettings,
+    NodeSettings,
+    PlannedRequest,
+)
 
 SIDECARS = NODES = 200
 LENGTH_S, FAULTS_FROM_S, FAULTS_S = 30.0, 4.0, 18.0
@@ -116,7 +121,7 @@
     )  # fmt: skip
 
 
-def _asks(draw: Sampler, world: WorldSpec) -> tuple[Ask, ...]:
+def _asks(draw: Sampler, world: WorldSpec) -> tuple[PlannedRequest, ...]:
     """Arrivals at random, with a burst, sidecars having unequal parts that shift between zones."""
     rng = draw.rng
     parts = [min(rng.paretovariate(PARETO) / 3.0, MOST_OF_MEAN) for _ in world.sidecars]
@@ -134,7 +139,7 @@
         of = rng.choices(world.classes, [each.share for each in world.classes])[0]
         work = of.draw_work(rng)
         asks.append(
-            Ask(
+            PlannedRequest(
                 id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5), request_class=of.name, unsafe=of.unsafe,
                 tenant=rng.choices(world.tenants, [each.share for each in world.tenants])[0].name,
                 wait_s=of.deadline_s, work_s=round(work, 5),
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -25,7 +25,7 @@
 )
 from brambleusher.lab.fleets.fleet import Fleet, world_of
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
+from brambleusher.lab.stand_ins.settings import ClientSettings, NodeSettings, PlannedRequest
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.loadbalancing.balancer_factory import balancer_for
@@ -102,15 +102,15 @@
     return Scenario(seed=seed, profile=day.name, world=world, asks=_asks(world, rng), faults=day.faults)
 
 
-def _asks(world: WorldSpec, rng: random.Random) -> tuple[Ask, ...]:
+def _asks(world: WorldSpec, rng: random.Random) -> tuple[PlannedRequest, ...]:
     """Arrivals at random, evenly over the sidecars and over time."""
-    asks: list[Ask] = []
+    asks: list[PlannedRequest] = []
     at = 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
         of = rng.choices(world.classes, [each.share for each in world.classes])[0]
         work = of.draw_work(rng)
         asks.append(
-            Ask(
+            PlannedRequest(
                 id=f"{rng.getrandbits(64):016x}", at_s=round(at, 6), request_class=of.name, unsafe=of.unsafe,
                 wait_s=of.deadline_s, work_s=round(work, 6),
                 body_bytes=64 if of.unsafe else 0, sidecar=rng.randrange(len(world.sidecars)),
--- a/tests/lab/lab_builders.py
+++ b/tests/lab/lab_builders.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from brambleusher.lab.stand_ins.settings import Ask
+from brambleusher.lab.stand_ins.settings import PlannedRequest
 from brambleusher.lab.virtual.world import VirtualSystem, World, WorldSettings
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
@@ -16,8 +16,8 @@
 PLAIN = WorldSettings(split=0.0, short_send=0.0, short_receive=0.0)
 
 
-def ask(name: str = "a1", **given: Any) -> Ask:
-    return Ask(**{"id": name, "at_s": 0.0, "request_class": "look", "work_s": 0.05, **given})
+def ask(name: str = "a1", **given: Any) -> PlannedRequest:
+    return PlannedRequest(**{"id": name, "at_s": 0.0, "request_class": "look", "work_s": 0.05, **given})
 
 
 class Lab:
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -16,7 +16,7 @@
 from brambleusher.lab.fleets.figures import ClassSpec, NodeSpec, SidecarSpec, WorldSpec
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
+from brambleusher.lab.stand_ins.settings import ClientSettings, NodeSettings, PlannedRequest
 
 LENGTH, RATE = 7.0, 90.0
 FROM, UNTIL = 2.0, 5.0  # start and end of the faults, in seconds
@@ -49,14 +49,16 @@
     )  # fmt: skip
 
 
-def asks(seed: int, rate: float = RATE) -> tuple[Ask, ...]:
+def asks(seed: int, rate: float = RATE) -> tuple[PlannedRequest, ...]:
     rng, at, made = random.Random(seed), 0.0, []
     while (at := at + rng.expovariate(rate)) < LENGTH:
         of = rng.choices(CLASSES, [each.share for each in CLASSES])[0]
         made.append(
-            Ask(id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5), request_class=of.name, unsafe=of.unsafe,
+            PlannedRequest(
+                id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5), request_class=of.name, unsafe=of.unsafe,
                 wait_s=of.deadline_s, work_s=round(of.work_s * rng.lognormvariate(-0.2, 0.6), 5),
-                sidecar=rng.randrange(2))
+                sidecar=rng.randrange(2),
+            )
         )  # fmt: skip
     return tuple(made)
 
--- a/tests/lab/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -10,10 +10,15 @@
 import pytest
 
 from brambleusher.lab.stand_ins.bad_client import BAD_KINDS, BadClients, BadKind
-from brambleusher.lab.stand_ins.client import Client, Try, pause_before_next, wording_of
+from brambleusher.lab.stand_ins.client import Client, RequestAttempt, retry_delay_s, serialize_request
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
 from brambleusher.lab.stand_ins.node import Node, Resets, Spoilt, TurnsAway
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, DiscoverySettings, NodeSettings
+from brambleusher.lab.stand_ins.settings import (
+    ClientSettings,
+    DiscoverySettings,
+    NodeSettings,
+    PlannedRequest,
+)
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import Tap
 from brambleusher.runtime.operating_system import RealSystem
@@ -27,8 +32,10 @@
 
 def tried(
     end: str, status: int = 0, unsafe: bool = False, number: int = 0, after: float | None = None
-) -> Try:
-    return Try(ask(unsafe=unsafe), "a1", number, 1.0, 0, end=end, status=status, retry_after_s=after)
+) -> RequestAttempt:
+    return RequestAttempt(
+        ask(unsafe=unsafe), "a1", number, 1.0, 0, end=end, status=status, retry_after_s=after
+    )
 
 
 @pytest.mark.parametrize(
@@ -54,9 +61,9 @@
     ],
 )
 def test_when_another_try_is_made(
-    last: Try, settings: ClientSettings, left: float, low: float | None, high: float | None
+    last: RequestAttempt, settings: ClientSettings, left: float, low: float | None, high: float | None
 ) -> None:
-    pause = pause_before_next(last, settings, random.Random(1), 100.0, 100.0 + left)
+    pause = retry_delay_s(last, settings, random.Random(1), 100.0, 100.0 + left)
     if low is None or high is None:
         assert pause is None
     else:
@@ -73,7 +80,7 @@
         self.data += data if side == "client" else b""
 
 
-def play(lab: Lab, asks: list[Ask], **settings: Any) -> Client:
+def play(lab: Lab, asks: list[PlannedRequest], **settings: Any) -> Client:
     def build(scheduler: Scheduler) -> Client:
         client = Client(scheduler, ClientSettings(**settings), SERVER, asks, 3)
         client.start(scheduler.now())
@@ -145,9 +152,9 @@
 
 
 def test_retries_are_marked_where_so_set() -> None:
-    assert b"Client-Retry" not in wording_of(ask(), "a1-1", 1.0) and b"Client-Retry: 1\r\n" in wording_of(
-        ask(), "a1-1", 1.0, retry=True
-    )
+    assert b"Client-Retry" not in serialize_request(
+        ask(), "a1-1", 1.0
+    ) and b"Client-Retry: 1\r\n" in serialize_request(ask(), "a1-1", 1.0, retry=True)
     for marks in (False, True):
         lab = Lab()
         node = node_in(lab, Resets("after"))
--- a/tests/lab/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -10,7 +10,7 @@
 import pytest
 
 from brambleusher.lab.stand_ins import node as at_node
-from brambleusher.lab.stand_ins.client import wording_of
+from brambleusher.lab.stand_ins.client import serialize_request
 from brambleusher.lab.stand_ins.node import Execution, Node, ReportHow, SpoiltHow
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.net.http import HttpError, Message, MessageReader
@@ -38,7 +38,7 @@
 
 
 def request(name: str = "r1", wait: float = 5.0, **given: Any) -> bytes:
-    return wording_of(ask(name, **given), name, wait)
+    return serialize_request(ask(name, **given), name, wait)
 
 
 def answers(data: bytes) -> list[Message]:
