--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -163,7 +163,7 @@
         events.append((fault.at_s, f"{fault.kind}{aimed} begins"))
         events.append((fault.at_s + fault.for_s, f"{fault.kind}{aimed} ends"))
     known: dict[str, str] = {}
-    for telling in fleet.discovery.told:
+    for telling in fleet.discovery.sent_updates:
         for entry in telling.entries:
             if known.get(entry.id, "Ready") != entry.state:
                 at_s = (telling.at_ns - fleet.begins_ns) / SECOND
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -320,7 +320,7 @@
         self.machine = fleet.world.machine("discovery", "10.2.0.1")
         self.version = 1
         self.list: dict[str, Entry] = {}
-        self.told: list[SentUpdate] = []
+        self.sent_updates: list[SentUpdate] = []
         self.active_faults = ActiveFaults()
         self.service: Discovery | None = None
         self.process: Process | None = None
@@ -340,7 +340,8 @@
         def build(scheduler: Scheduler) -> Server:
             service = self.service = Discovery(
                 scheduler, fleet.scenario.world.discovery, "discovery", fleet.scenario.seed,
-                entries=self.list.values(), version=self.version, told=self.told, seen=fleet.seen_by,
+                entries=self.list.values(), version=self.version, sent_updates=self.sent_updates,
+                seen=fleet.seen_by,
             )  # fmt: skip
             service.listen(self.address)
             for fault in self.active_faults.all(object):
@@ -632,7 +633,7 @@
         self.monitor: FleetMonitor = monitor or _NullMonitor()
         self.executions: list[Execution] = []  # executions of all nodes, in order of arrival
         self.asked: list[SentRequest] = []  # requests of all clients
-        self.misdeeds: list[BadConnection] = []
+        self.bad_connections: list[BadConnection] = []
         spec = scenario.world
         self.discovery = DiscoveryInstance(self)
         self.node_instances = [
@@ -745,7 +746,7 @@
             asks = [ask for ask in scenario.asks if ask.sidecar == sidecar.number]
             client = Client(
                 scheduler, scenario.world.clients, self._address_of(self.client_machine, sidecar), asks,
-                scenario.seed, book=self.asked,
+                scenario.seed, records=self.asked,
             )  # fmt: skip
             client.linger_s = self.linger_s
             self.clients.append(client)
@@ -761,7 +762,7 @@
             bad = BadClients(
                 scheduler, self._address_of(self._bad_machine, sidecar), sample,
                 scenario.seed + sidecar.number, in_use=partial(self._open_ids, sidecar.number),
-                book=self.misdeeds,
+                records=self.bad_connections,
             )  # fmt: skip
             self.bad.append(bad)
 
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -124,7 +124,7 @@
                 entries.append(self._start_node(figures))
         self.discovery = Discovery(
             self.scheduler, self.figures.discovery, "discovery", self.seed, entries=entries,
-            told=deque(maxlen=1000),
+            sent_updates=deque(maxlen=1000),
         )  # fmt: skip
         where = self.discovery.listen((LOOPBACK, 0))
         for number, sidecar in enumerate(self.figures.sidecars):
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -59,7 +59,7 @@
         seed: int = 0,
         *,
         in_use: Callable[[], list[str]] = list,
-        book: MutableSequence[BadConnection] | None = None,
+        records: MutableSequence[BadConnection] | None = None,
     ) -> None:
         """Initialize the clients.
 
@@ -67,7 +67,7 @@
         """
         self.scheduler, self.target, self._sample, self._in_use = scheduler, target, sample, in_use
         self.rng = random.Random(f"{seed}/bad/{target[0]}:{target[1]}")
-        self.book: MutableSequence[BadConnection] = [] if book is None else book
+        self.records: MutableSequence[BadConnection] = [] if records is None else records
         self._tasks: dict[int, Task] = {}
         self._number = 0
         self._seed = seed
@@ -82,10 +82,10 @@
         numbers = []
         for _ in range(count):
             self._number += 1
-            deed = BadConnection(kind)
-            self.book.append(deed)
+            connection = BadConnection(kind)
+            self.records.append(connection)
             self._tasks[self._number] = self.scheduler.spawn(
-                self._run, deed, self._number, patience, name=f"bad {kind}"
+                self._run, connection, self._number, patience, name=f"bad {kind}"
             )
             numbers.append(self._number)
         return numbers
@@ -98,58 +98,64 @@
 
     # --- one client -----------------------------------------------------------------------------
 
-    def _run(self, deed: BadConnection, number: int, patience: float) -> None:
+    def _run(self, connection: BadConnection, number: int, patience: float) -> None:
         scheduler = self.scheduler
         until = scheduler.now() + patience
         stream: Stream | None = None
-        deed.end = "left"
+        connection.end = "left"
         try:
             stream = Stream.connect(scheduler, self.target, min(until, scheduler.now() + CONNECT_SECONDS))
-            deed.opened_ns = scheduler.system.monotonic_ns()
-            deed.port = stream.sock.getsockname()[1]
-            _DEEDS[deed.kind](self, deed, stream, number, until)
-            self._read(deed, stream, until)
-            deed.end = "closed"
+            connection.opened_ns = scheduler.system.monotonic_ns()
+            connection.port = stream.sock.getsockname()[1]
+            _METHODS[connection.kind](self, connection, stream, number, until)
+            self._read(connection, stream, until)
+            connection.end = "closed"
         except _Left:
-            deed.end = "left"
+            connection.end = "left"
         except TaskTimeoutError:
-            deed.end = "stayed" if stream is not None else "unreachable"
+            connection.end = "stayed" if stream is not None else "unreachable"
         except OSError:
-            deed.end = "reset" if stream is not None else "unreachable"
+            connection.end = "reset" if stream is not None else "unreachable"
         finally:
-            deed.ended_ns = scheduler.system.monotonic_ns()
+            connection.ended_ns = scheduler.system.monotonic_ns()
             self._tasks.pop(number, None)
             if stream is not None:
                 stream.close()
 
-    def _valid_request(self, deed: BadConnection, number: int, nth: int = 0, wait: float = 1.0) -> bytes:
+    def _valid_request(
+        self, connection: BadConnection, number: int, nth: int = 0, wait: float = 1.0
+    ) -> bytes:
         """Return the bytes of a valid request."""
         name = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}{nth:03x}"
-        deed.ids.append(name)
+        connection.ids.append(name)
         return serialize_request(self._sample, name, wait)
 
-    def _send(self, deed: BadConnection, stream: Stream, data: bytes, until: float) -> None:
+    def _send(self, connection: BadConnection, stream: Stream, data: bytes, until: float) -> None:
         """Send bytes; a full send buffer delays this until the deadline `until`."""
         stream.send(data, until)
-        deed.sent_ns = self.scheduler.system.monotonic_ns()
+        connection.sent_ns = self.scheduler.system.monotonic_ns()
 
-    def _read(self, deed: BadConnection, stream: Stream, until: float) -> None:
+    def _read(self, connection: BadConnection, stream: Stream, until: float) -> None:
         """Read until the connection ends."""
         while data := stream.receive(until):
-            self._record(deed, data)
+            self._record(connection, data)
 
-    def _await_response(self, deed: BadConnection, stream: Stream, until: float) -> None:
+    def _await_response(self, connection: BadConnection, stream: Stream, until: float) -> None:
         """Read the first bytes of a response."""
         data = stream.receive(until)
         if not data:
             raise ConnectionResetError("the connection was closed without a response")
-        self._record(deed, data)
-
-    def _record(self, deed: BadConnection, data: bytes) -> None:
-        if not deed.got_bytes:
-            deed.told_ns = self.scheduler.system.monotonic_ns()
-        deed.got_bytes += len(data)
-        deed.got = (deed.got + data)[:RECORDED_BYTES] if len(deed.got) < RECORDED_BYTES else deed.got
+        self._record(connection, data)
+
+    def _record(self, connection: BadConnection, data: bytes) -> None:
+        if not connection.got_bytes:
+            connection.told_ns = self.scheduler.system.monotonic_ns()
+        connection.got_bytes += len(data)
+        connection.got = (
+            (connection.got + data)[:RECORDED_BYTES]
+            if len(connection.got) < RECORDED_BYTES
+            else connection.got
+        )
 
     def _invalid_request(self, old: bytes, new: bytes, number: int) -> bytes:
         """Return a valid request with one error, whose id is not among those that may be served."""
@@ -157,12 +163,12 @@
 
     # --- the kinds ------------------------------------------------------------------------------
 
-    def _half_request(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        data = self._valid_request(BadConnection(deed.kind), number)
-        self._send(deed, stream, data[: len(data) // 2], until)
+    def _half_request(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        data = self._valid_request(BadConnection(connection.kind), number)
+        self._send(connection, stream, data[: len(data) // 2], until)
 
-    def _half_and_close(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._half_request(deed, stream, number, until)
+    def _half_and_close(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._half_request(connection, stream, number, until)
         self.scheduler.sleep(0.1 * self.rng.random())
         raise _Left
 
@@ -181,95 +187,100 @@
             lines.append(f"{name}: {value}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
-    def _negative_length(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._request_with("Content-Length", "-20") + b"x" * 20, until)
+    def _negative_length(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._request_with("Content-Length", "-20") + b"x" * 20, until)
 
-    def _huge_length(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._request_with("Content-Length", str(1 << 62)) + b"x" * 20, until)
+    def _huge_length(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._request_with("Content-Length", str(1 << 62)) + b"x" * 20, until)
 
-    def _huge_body(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+    def _huge_body(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
         size = 256 * 1024
-        self._send(deed, stream, self._request_with("Content-Length", str(size)) + b"x" * size, until)
+        self._send(connection, stream, self._request_with("Content-Length", str(size)) + b"x" * size, until)
 
-    def _bad_length(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._request_with("Content-Length", "0x14") + b"x" * 20, until)
+    def _bad_length(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._request_with("Content-Length", "0x14") + b"x" * 20, until)
 
-    def _both_framings(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        inner = self._valid_request(BadConnection(deed.kind), number, 0xFFF)
-        deed.hidden = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}fff"
+    def _both_framings(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        inner = self._valid_request(BadConnection(connection.kind), number, 0xFFF)
+        connection.hidden = f"b{self._seed & 0xFFFFFFFF:08x}{number:04x}fff"
         body = b"0\r\n\r\n" + inner
         head = (
             self._request_with("Content-Length", str(len(body)))[:-2] + b"Transfer-Encoding: chunked\r\n\r\n"
         )
-        self._send(deed, stream, head + body, until)
+        self._send(connection, stream, head + body, until)
 
-    def _two_lengths(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+    def _two_lengths(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
         head = self._request_with("Content-Length", "5")[:-2] + b"Content-Length: 25\r\n\r\n"
-        self._send(deed, stream, head + b"x" * 25, until)
+        self._send(connection, stream, head + b"x" * 25, until)
 
-    def _id_in_use(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+    def _id_in_use(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
         ids = self._in_use()
         if not ids:
             raise _Left
         name = ids[self.rng.randrange(len(ids))]
-        self._send(deed, stream, serialize_request(self._sample, name, 1.0), until)
-
-    def _pipelining(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, b"".join(self._valid_request(deed, number, nth) for nth in range(4)), until)
+        self._send(connection, stream, serialize_request(self._sample, name, 1.0), until)
+
+    def _pipelining(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(
+            connection,
+            stream,
+            b"".join(self._valid_request(connection, number, nth) for nth in range(4)),
+            until,
+        )
 
-    def _leaving(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._valid_request(deed, number), until)
+    def _leaving(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._valid_request(connection, number), until)
         self.scheduler.sleep(0.1 * self.rng.random())
         raise _Left
 
-    def _slow_reading(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._valid_request(deed, number), until)
+    def _slow_reading(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._valid_request(connection, number), until)
         while self.scheduler.now() < until:
             self.scheduler.park(until, stream.sock)
             data = stream.sock.recv(1)
             if not data:
                 return
-            self._record(deed, data)
+            self._record(connection, data)
             self.scheduler.sleep(SLOW_PAUSE)
 
-    def _slow_writing(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        data = self._valid_request(deed, number)
+    def _slow_writing(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        data = self._valid_request(connection, number)
         for at in range(len(data)):
-            self._send(deed, stream, data[at : at + 1], until)
+            self._send(connection, stream, data[at : at + 1], until)
             self.scheduler.sleep(SLOW_PAUSE / 2)
 
-    def _silent(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+    def _silent(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
         """Send nothing."""
 
-    def _ask_and_stay(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._valid_request(deed, number), until)
+    def _ask_and_stay(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._valid_request(connection, number), until)
 
-    def _endless_head(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._request_with("Content-Length", "0")[:-2], until)
+    def _endless_head(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._request_with("Content-Length", "0")[:-2], until)
         while self.scheduler.now() < until:
-            self._send(deed, stream, b"X-More: " + b"m" * 500 + b"\r\n", until)
+            self._send(connection, stream, b"X-More: " + b"m" * 500 + b"\r\n", until)
             self.scheduler.sleep(SLOW_PAUSE)
 
-    def _unknown_class(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+    def _unknown_class(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
         known = self._sample.request_class.encode()
-        self._send(deed, stream, self._invalid_request(known, b"no-such-class", number), until)
+        self._send(connection, stream, self._invalid_request(known, b"no-such-class", number), until)
 
-    def _no_id(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._request_with("Request-Id", ""), until)
+    def _no_id(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._request_with("Request-Id", ""), until)
 
-    def _bad_deadline(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self._request_with("Request-Timeout-Ms", "soon"), until)
+    def _bad_deadline(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self._request_with("Request-Timeout-Ms", "soon"), until)
 
-    def _noise(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
-        self._send(deed, stream, self.rng.randbytes(300), until)
+    def _noise(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
+        self._send(connection, stream, self.rng.randbytes(300), until)
 
-    def _again_at_once(self, deed: BadConnection, stream: Stream, number: int, until: float) -> None:
+    def _again_at_once(self, connection: BadConnection, stream: Stream, number: int, until: float) -> None:
         """Send a request again immediately after each response, five times."""
         for nth in range(5):
-            self._send(deed, stream, self._valid_request(deed, number, nth), until)
-            self._await_response(deed, stream, until)
+            self._send(connection, stream, self._valid_request(connection, number, nth), until)
+            self._await_response(connection, stream, until)
 
 
-_DEEDS: dict[BadKind, Callable[[BadClients, BadConnection, Stream, int, float], None]] = {
+_METHODS: dict[BadKind, Callable[[BadClients, BadConnection, Stream, int, float], None]] = {
     kind: getattr(BadClients, "_" + kind.replace("-", "_")) for kind in BAD_KINDS
 }
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -125,11 +125,11 @@
         asks: Iterable[PlannedRequest],
         seed: int = 0,
         *,
-        book: MutableSequence[SentRequest] | None = None,
+        records: MutableSequence[SentRequest] | None = None,
     ) -> None:
         self.scheduler, self.settings, self.target = scheduler, settings, target
         self.rng = random.Random(f"{seed}/client/{target[0]}:{target[1]}")
-        self.book: MutableSequence[SentRequest] = [] if book is None else book
+        self.records: MutableSequence[SentRequest] = [] if records is None else records
         self._asks = sorted(asks, key=lambda ask: (ask.at_s, ask.id))
         self._idle: list[Stream] = []
         self.linger_s = LINGER_SECONDS
@@ -152,7 +152,7 @@
 
     def open_ids(self) -> list[str]:
         """Return the ids of the open requests' current attempts."""
-        return [asked.tries[-1].id for asked in self.book if not asked.over and asked.tries]
+        return [asked.tries[-1].id for asked in self.records if not asked.over and asked.tries]
 
     def start(self, at: float | None = None) -> None:
         """Send each request `at_s` after the time `at`, or after the sidecar is ready if `at` is None."""
@@ -188,7 +188,7 @@
             if (wait := begin + ask.at_s - scheduler.now()) > 0:
                 scheduler.sleep(wait)
             asked = SentRequest(ask, round((begin + ask.at_s) * 1e9))
-            self.book.append(asked)
+            self.records.append(asked)
             self._open_tasks[ask.id] = scheduler.spawn(self._run_request, asked, begin + ask.at_s, name="ask")
 
     def _ready(self) -> bool:
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -112,7 +112,7 @@
         *,
         entries: Iterable[Entry] = (),
         version: int = 1,
-        told: MutableSequence[SentUpdate] | None = None,
+        sent_updates: MutableSequence[SentUpdate] | None = None,
         seen: Callable[[str, Entry], Entry] | None = None,
     ) -> None:
         """Initialize the service; `seen` translates an entry for the subscriber at a given IP address."""
@@ -122,7 +122,7 @@
         self._entries: dict[str, tuple[int, Entry]] = {entry.id: (version, entry) for entry in entries}
         self._oldest = version  # oldest version from which changes are available
         self._previous: tuple[int, list[Entry]] | None = None  # previous version and its list
-        self.told: MutableSequence[SentUpdate] = [] if told is None else told
+        self.sent_updates: MutableSequence[SentUpdate] = [] if sent_updates is None else sent_updates
         self.active_faults = ActiveFaults()
         self._watches: dict[int, _Watch] = {}
         self._free_at = 0.0  # time at which all accepted requests will have been answered
@@ -354,7 +354,9 @@
         self, connection: Connection, version: int, full: bool, entries: tuple[Entry, ...], sound: bool = True
     ) -> None:
         now = self.scheduler.system.monotonic_ns()
-        self.told.append(SentUpdate(now, connection.peer, connection.number, version, full, entries, sound))
+        self.sent_updates.append(
+            SentUpdate(now, connection.peer, connection.number, version, full, entries, sound)
+        )
 
 
 def _text(version: int, full: bool, entries: Iterable[Entry]) -> bytes:
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -33,7 +33,7 @@
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self.book: list[AdminCall] = []
+        self.records: list[AdminCall] = []
         self._tasks: list[Task] = []
 
     def say(self, admin: Address, out: str, back: str) -> Callable[[], None]:
@@ -74,7 +74,7 @@
         """Send one request on a new connection."""
         scheduler = self.scheduler
         called = AdminCall(address, target, scheduler.system.monotonic_ns())
-        self.book.append(called)
+        self.records.append(called)
         until, stream = scheduler.now() + REQUEST_SECONDS, None
         try:
             stream = Stream.connect(scheduler, address, until)
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -487,8 +487,8 @@
         left = [text for end in ends for text in end.leaks()]
         still = fleet.end()
         assert not still and all(each.process and each.process.ended == 0 for each in fleet.sidecars)
-        lines = [repr(each) for each in (*fleet.executions, *fleet.asked, *fleet.misdeeds)]
-        lines += [repr(each) for each in fleet.discovery.told] + left
+        lines = [repr(each) for each in (*fleet.executions, *fleet.asked, *fleet.bad_connections)]
+        lines += [repr(each) for each in fleet.discovery.sent_updates] + left
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
--- a/tests/lab/test_operators_in_virtual_time.py
+++ b/tests/lab/test_operators_in_virtual_time.py
@@ -39,7 +39,7 @@
         fleet.start()
         run.run(fleet.begins_ns + int((FROM_S + 2) * SECOND))
         assert fleet.operators is not None
-        assert {call.target for call in fleet.operators.book} == {"/ready"}
+        assert {call.target for call in fleet.operators.records} == {"/ready"}
 
 
 @pytest.mark.parametrize("where", ["the program", "the lab"])
--- a/tests/lab/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -96,8 +96,8 @@
     lab = Lab()
     node_in(lab, cores=2)
     client = play(lab, [ask(f"a{n}", at_s=0.2 * (n // 2), work_s=0.05) for n in range(8)])
-    assert client.connects == 2 and all(each.served for each in client.book)
-    assert all(0 <= each.tries[0].begun_ns - each.due_ns < 2_000_000 for each in client.book)
+    assert client.connects == 2 and all(each.served for each in client.records)
+    assert all(0 <= each.tries[0].begun_ns - each.due_ns < 2_000_000 for each in client.records)
 
 
 def test_a_close_that_crosses_is_asked_once_more() -> None:
@@ -111,8 +111,8 @@
 
     lab.world.at(lab.world.now_ns + 500_200_000, lambda: node.scheduler.call_soon(reset_idle))
     client = play(lab, asks, tries=1)
-    assert [each.served for each in client.book] == [True, True]
-    assert [each.tries[0].resent for each in client.book] in ([False, True], [False, False])
+    assert [each.served for each in client.records] == [True, True]
+    assert [each.tries[0].resent for each in client.records] in ([False, True], [False, False])
 
 
 def test_a_break_that_comes_later_is_not_a_crossing() -> None:
@@ -125,30 +125,30 @@
 
     lab.world.at(lab.world.now_ns + 700_000_000, lambda: node.scheduler.call_soon(reset_busy))
     client = play(lab, [ask("a1"), ask("a2", at_s=0.5, work_s=0.5, unsafe=True)])
-    assert [(each.end, each.resent) for each in client.book[1].tries] == [("broken", False)]
+    assert [(each.end, each.resent) for each in client.records[1].tries] == [("broken", False)]
     assert [each.request for each in node.executions] == ["a1", "a2"]
 
 
 def test_refusals_are_heeded_and_late_answers_given_up() -> None:
     lab = Lab()
     node_in(lab, TurnsAway())
-    refused = play(lab, [ask("a1")], tries=3, backoff="fixed", backoff_s=0.05).book[0]
+    refused = play(lab, [ask("a1")], tries=3, backoff="fixed", backoff_s=0.05).records[0]
     assert [(each.id, each.status) for each in refused.tries] == [("a1", 503), ("a1-1", 503), ("a1-2", 503)]
     lab = Lab()
     node = node_in(lab, cancel="all")
-    late = play(lab, [ask("a1", work_s=5.0, wait_s=0.5)], tries=1).book[0].tries[0]
+    late = play(lab, [ask("a1", work_s=5.0, wait_s=0.5)], tries=1).records[0].tries[0]
     assert late.end == "late" and 0.5 <= (late.ended_ns - late.begun_ns) / 1e9 < 0.62
     lab.sleep(0.1)
     assert node.executions[0].end == "stopped"
     lab = Lab()
     node_in(lab)
-    left = play(lab, [ask("a1", work_s=9.0, wait_s=3.0)], impatient=1.0).book[0].tries
+    left = play(lab, [ask("a1", work_s=9.0, wait_s=3.0)], impatient=1.0).records[0].tries
     assert [each.end for each in left] == ["left"]
     lab = Lab()
-    assert [each.end for each in play(lab, [ask("a1")], tries=2).book[0].tries] == ["unreachable"] * 2
+    assert [each.end for each in play(lab, [ask("a1")], tries=2).records[0].tries] == ["unreachable"] * 2
     lab = Lab()
     node_in(lab, Spoilt("strange-status"))
-    assert [each.end for each in play(lab, [ask("a1")], tries=1).book[0].tries] == ["unreadable"]
+    assert [each.end for each in play(lab, [ask("a1")], tries=1).records[0].tries] == ["unreadable"]
 
 
 def test_retries_are_marked_where_so_set() -> None:
@@ -185,7 +185,7 @@
     )
     client.start(scheduler.now())
     scheduler.run(lambda: client.finished)
-    found = [(each.tries[-1].status, json.loads(each.tries[-1].body)) for each in client.book]
+    found = [(each.tries[-1].status, json.loads(each.tries[-1].body)) for each in client.records]
     for each in (client, node, discovery):
         each.close()
     scheduler.call_at(scheduler.now() + 0.01, scheduler.stop)
@@ -222,15 +222,15 @@
     logging.getLogger("brambleusher.lab").setLevel(logging.WARNING)
     bad: BadClients = lab.on("client", build)
     lab.world.run(lab.world.now_ns + 10 * 10**9, lambda: not bad.open)
-    assert bad.open == 0 and [each.kind for each in bad.book] == [kind] * 2
-    for deed in bad.book:
+    assert bad.open == 0 and [each.kind for each in bad.records] == [kind] * 2
+    for deed in bad.records:
         assert deed.opened_ns and deed.ended_ns > deed.opened_ns and deed.port
         assert deed.end in ("closed", "reset", "left", "stayed")
         assert (deed.sent_ns > 0) == (kind != "silent") or (kind, deed.end) == ("huge-body", "reset")
     ran = {each.request for each in node.executions}
-    assert not any(deed.hidden in ran for deed in bad.book)
-    good = {name for deed in bad.book for name in deed.ids}
+    assert not any(deed.hidden in ran for deed in bad.records)
+    good = {name for deed in bad.records for name in deed.ids}
     if kind in ("pipelining", "ask-and-stay", "slow-writing", "slow-reading", "again-at-once", "leaving"):
         assert good and good == ran
     if kind == "both-framings":
-        assert all(deed.hidden for deed in bad.book)
+        assert all(deed.hidden for deed in bad.records)
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -127,7 +127,7 @@
     assert told == CHANGED
     gaps = [after - before for (before, _), (after, _) in itertools.pairwise(lines)]
     assert max(gaps) <= 2.05
-    book = discovery.told
+    book = discovery.sent_updates
     assert book[0].version == 7 and book[-1].version == 9
     assert all(each.peer == "10.0.0.2" and each.sound for each in book)
     assert 0 <= book[-1].at_ns - (book[0].at_ns + 2_900_000_000) < 300_000_000
@@ -198,7 +198,7 @@
             (7, True),
             (8, False),
         ]  # the outdated list, then the change since its version
-        assert [each.sound for each in discovery.told] == [True, True, False, True]
+        assert [each.sound for each in discovery.sent_updates] == [True, True, False, True]
     elif how in ("half-line", "bad-chunk"):
         assert not bad and ended == ("cut in a line" if how == "half-line" else "HttpError")
     else:
