--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -151,27 +151,27 @@
 
 @apply.register(faults.MalformedAnswers)
 def _malformed_answers(fault: faults.MalformedAnswers, fleet: BaseFleet) -> EndAction:
-    return _inject(_target_nodes(fault, fleet), node.Spoilt(fault.how, fault.part))
+    return _inject(_target_nodes(fault, fleet), node.MalformedResponses(fault.how, fault.part))
 
 
 @apply.register(faults.RequestRejections)
 def _request_rejections(fault: faults.RequestRejections, fleet: BaseFleet) -> EndAction:
-    return _inject(_target_nodes(fault, fleet), node.TurnsAway(fault.part, fault.status))
+    return _inject(_target_nodes(fault, fleet), node.RejectsRequests(fault.part, fault.status))
 
 
 @apply.register(faults.LateReports)
 def _reports_late(fault: faults.LateReports, fleet: BaseFleet) -> EndAction:
-    return _inject(_target_nodes(fault, fleet), node.ReportsLate(fault.by_s))
+    return _inject(_target_nodes(fault, fleet), node.DelayedReports(fault.by_s))
 
 
 @apply.register(faults.WrongReports)
 def _reports_wrong(fault: faults.WrongReports, fleet: BaseFleet) -> EndAction:
-    return _inject(_target_nodes(fault, fleet), node.ReportsWrong(fault.how))
+    return _inject(_target_nodes(fault, fleet), node.InvalidReports(fault.how))
 
 
 @apply.register(faults.EarlyIdleClose)
 def _early_idle_close(fault: faults.EarlyIdleClose, fleet: BaseFleet) -> EndAction:
-    return _inject(_target_nodes(fault, fleet), node.CrossingClose(fault.within_s, fault.part, fault.unread))
+    return _inject(_target_nodes(fault, fleet), node.EarlyClose(fault.within_s, fault.part, fault.unread))
 
 
 @apply.register(faults.NodeStalled)
@@ -362,12 +362,12 @@
 
 @apply.register(faults.DiscoverySlow)
 def _discovery_slow(fault: faults.DiscoverySlow, fleet: BaseFleet) -> EndAction:
-    return _inject_at_discovery(fleet, discovery.SlowCalls(fault.factor))
+    return _inject_at_discovery(fleet, discovery.SlowRequests(fault.factor))
 
 
 @apply.register(faults.DiscoveryUnresponsive)
 def _discovery_unresponsive(fault: faults.DiscoveryUnresponsive, fleet: BaseFleet) -> EndAction:
-    return _inject_at_discovery(fleet, discovery.Silent())
+    return _inject_at_discovery(fleet, discovery.Unresponsive())
 
 
 @apply.register(faults.DiscoveryGarbage)
@@ -530,7 +530,7 @@
 
 @apply.register(faults.ListsDiffer)
 def _lists_differ(fault: faults.ListsDiffer, fleet: BaseFleet) -> EndAction:
-    return _inject_at_discovery(fleet, discovery.Behind(fault.part, fault.by_s), can_notify=True)
+    return _inject_at_discovery(fleet, discovery.DelayedUpdates(fault.part, fault.by_s), can_notify=True)
 
 
 @apply.register(faults.WallClockSet)
@@ -704,7 +704,7 @@
 @apply.register(faults.ZoneDegraded)
 def _zone_degraded(fault: faults.ZoneDegraded, fleet: BaseFleet) -> EndAction:
     targets = _zone_nodes(fault, fleet)
-    slow = _inject(targets, node.SlowNow(fault.every, fault.factor))
+    slow = _inject(targets, node.SlowEveryNth(fault.every, fault.factor))
     resets = _inject(targets, node.Resets("after", fault.resets))
 
     def end() -> None:
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -14,7 +14,7 @@
 from brambleusher.lab.fleets.figures import Sampler, WorldSpec
 from brambleusher.lab.stand_ins.bad_client import BAD_KINDS, BadKind
 from brambleusher.lab.stand_ins.discovery import GarbageHow
-from brambleusher.lab.stand_ins.node import ReportHow, ResetWhere, SpoiltHow
+from brambleusher.lab.stand_ins.node import MalformedKind, ReportHow, ResetWhere
 from brambleusher.lab.stand_ins.settings import Part, Positive, Seconds
 
 FIRST_AT = 0.3  # earliest start of a fault, in seconds: before that, sidecars have only just become ready
@@ -217,13 +217,13 @@
     """A fraction of the node's responses is malformed or followed by unexpected bytes."""
 
     broad: ClassVar[float] = 0.3
-    how: SpoiltHow
+    how: MalformedKind
     part: Part
 
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
         """Draw the variant of the fault."""
-        return {"how": draw.rng.choice(get_args(SpoiltHow)), "part": draw.uniform((0.1, 0.9))}
+        return {"how": draw.rng.choice(get_args(MalformedKind)), "part": draw.uniform((0.1, 0.9))}
 
 
 class RequestRejections(Fault, frozen=True, tag="turning-away"):
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -49,14 +49,14 @@
 
 
 @dataclass(eq=False, slots=True)
-class SlowCalls:
+class SlowRequests:
     """Requests take `factor` times as long."""
 
     factor: float
 
 
 @dataclass(eq=False, slots=True)
-class Silent:
+class Unresponsive:
     """Watches stay open but send nothing, not even heartbeats; requests get no response meanwhile."""
 
 
@@ -68,7 +68,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Behind:
+class DelayedUpdates:
     """A fraction of the subscribers, selected by a hash of the IP address, receives changes `by_s` later."""
 
     part: float
@@ -155,7 +155,8 @@
     def _extra_delay(self, watch: _Watch) -> float:
         fraction = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
         return max(
-            (each.by_s for each in self.active_faults.all(Behind) if fraction < each.part), default=0.0
+            (each.by_s for each in self.active_faults.all(DelayedUpdates) if fraction < each.part),
+            default=0.0,
         )
 
     def put_later(self, seconds: float, *entries: Entry) -> None:
@@ -189,7 +190,7 @@
         refusing = any(each.how == "refuse" for each in self.active_faults.all(Down))
         if isinstance(fault, Down) and not refusing and not self.listening and self.address is not None:
             self.listen(self.address)
-        if isinstance(fault, Silent) and not self.active_faults.all(Silent):
+        if isinstance(fault, Unresponsive) and not self.active_faults.all(Unresponsive):
             for connection in self.connections.values():
                 connection.event.set()
 
@@ -235,7 +236,7 @@
         self.calls += 1
         down = self.active_faults.last(Down)
         now = scheduler.now()
-        factor = max((each.factor for each in self.active_faults.all(SlowCalls)), default=1.0)
+        factor = max((each.factor for each in self.active_faults.all(SlowRequests)), default=1.0)
         takes = (settings.call_s + settings.line_s * len(self._entries)) * factor
         ready = max(self._free_at, now) + takes
         fails = "" if down is None else down.how
@@ -245,7 +246,7 @@
             else:
                 self._free_at = ready
             scheduler.sleep(min(ready - now, settings.timeout_s))
-        while self.active_faults.all(Silent):  # requests are answered once the fault ends
+        while self.active_faults.all(Unresponsive):  # requests are answered once the fault ends
             scheduler.park(event=connection.event)
         if not fails:
             return True
@@ -265,7 +266,7 @@
         connection.stream.send(HEAD, scheduler.now() + WRITE_SECONDS)
         try:
             while True:
-                if not self.active_faults.all(Silent):
+                if not self.active_faults.all(Unresponsive):
                     if watch.due_garbage is not None and watch.due_garbage is not watch.sent_garbage:
                         watch.sent_garbage, watch.due_garbage = watch.due_garbage, None
                         if not self._send_garbage(watch, watch.sent_garbage.how):
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -24,7 +24,7 @@
 AHEAD_BYTES = 128 * 1024  # maximum number of bytes buffered while an earlier request is processed
 ENDLESS_CHUNK_BYTES, ENDLESS_SECONDS, ENDLESS_PAUSE = 16 * 1024, 20.0, 0.05
 
-SpoiltHow = Literal[
+MalformedKind = Literal[
     "noise", "endless-head", "long-length", "negative-length", "two-lengths", "bad-chunk", "unframed",
     "endless-body", "cut-body", "second-copy", "noise-behind", "interim", "bad-report", "strange-status",
 ]  # fmt: skip
@@ -43,7 +43,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class SlowNow:
+class SlowEveryNth:
     """Every n-th request needs `factor` times the work."""
 
     every: int
@@ -65,10 +65,10 @@
 
 
 @dataclass(eq=False, slots=True)
-class Spoilt:
+class MalformedResponses:
     """A fraction of the responses is malformed or followed by unexpected bytes."""
 
-    how: SpoiltHow
+    how: MalformedKind
     part: float = 1.0
 
 
@@ -82,7 +82,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class CrossingClose:
+class EarlyClose:
     """Idle connections are closed early: after a random time, or with the next request unread."""
 
     within_s: float
@@ -91,21 +91,21 @@
 
 
 @dataclass(eq=False, slots=True)
-class ReportsLate:
+class DelayedReports:
     """Load reports become visible `delay_s` later."""
 
     delay_s: float
 
 
 @dataclass(eq=False, slots=True)
-class ReportsWrong:
+class InvalidReports:
     """Load reports are missing or invalid."""
 
     how: ReportHow
 
 
 @dataclass(eq=False, slots=True)
-class TurnsAway:
+class RejectsRequests:
     """A fraction of the requests is rejected, as with a full queue."""
 
     part: float = 1.0
@@ -258,7 +258,7 @@
         try:
             while True:
                 idle = settings.idle_s
-                crossing = self.active_faults.last(CrossingClose)
+                crossing = self.active_faults.last(EarlyClose)
                 crosses = crossing is not None and not first and rng.random() < crossing.part
                 if crossing is not None and crosses and not crossing.unread:
                     idle = min(idle, crossing.within_s * rng.random())
@@ -348,7 +348,7 @@
             raise HttpError(400, "invalid number in a request header") from None
         spread = self.settings.work_noise
         seconds = max(1e-5, seconds * math.exp(spread * self.rng.gauss(0.0, 1.0) - spread * spread / 2))
-        for slow in self.active_faults.all(SlowNow):
+        for slow in self.active_faults.all(SlowEveryNth):
             self._request_count += 1
             seconds *= slow.factor if self._request_count % slow.every == 0 else 1.0
         self.machine.advance(self.scheduler.now())
@@ -369,7 +369,9 @@
         settings, now = self.settings, self.scheduler.now()
         if first and settings.handshake_work_s:
             self.machine.spend(settings.handshake_work_s, now)
-        rejections = [each for each in self.active_faults.all(TurnsAway) if self.rng.random() < each.part]
+        rejections = [
+            each for each in self.active_faults.all(RejectsRequests) if self.rng.random() < each.part
+        ]
         if rejections:
             self._turn_away(work, rejections[-1].status)
         elif len(self.connections) > settings.connections:
@@ -488,7 +490,7 @@
             self._send(connection, data[: self.rng.randrange(1, len(data))])
             self.reset(connection)
             return False
-        spoilt = self.active_faults.last(Spoilt)
+        spoilt = self.active_faults.last(MalformedResponses)
         if spoilt is not None and status == 200 and self.rng.random() < spoilt.part:
             return self._spoil(connection, spoilt.how, headers, body)
         self._send(connection, write_response(status, headers, body))
@@ -501,12 +503,12 @@
         fields = self.settings.report_fields
         if not fields:
             return []
-        invalid = self.active_faults.last(ReportsWrong)
+        invalid = self.active_faults.last(InvalidReports)
         if invalid is not None:
             return _wrong_report(invalid.how, fields)
         now = self.scheduler.now()
         self.machine.advance(now)
-        delay = sum(each.delay_s for each in self.active_faults.all(ReportsLate))
+        delay = sum(each.delay_s for each in self.active_faults.all(DelayedReports))
         report = self.machine.report(now, delay)
         if report is None:
             return []
@@ -517,7 +519,9 @@
         }  # fmt: skip
         return [("Server-Load", orjson.dumps({name: values.get(name, 0) for name in fields}).decode())]
 
-    def _spoil(self, connection: Connection, how: SpoiltHow, headers: list[HeaderField], body: bytes) -> bool:
+    def _spoil(
+        self, connection: Connection, how: MalformedKind, headers: list[HeaderField], body: bytes
+    ) -> bool:
         """Send a malformed response; return False if the connection can't be used any more."""
         valid = write_response(200, headers, body)
         if how in ("second-copy", "noise-behind"):
@@ -552,7 +556,7 @@
             self.scheduler.sleep(ENDLESS_PAUSE)
 
 
-def _unreadable(how: SpoiltHow, head: str, body: bytes, rng: random.Random) -> bytes:
+def _unreadable(how: MalformedKind, head: str, body: bytes, rng: random.Random) -> bytes:
     """Return the bytes of a response that can't be parsed to its end.
 
     The variants don't include a Content-Length that is too small, since such a response is indistinguishable
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -260,24 +260,27 @@
         {"where": "in", "part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.Resets) is not None,
     ),
     "answers-spoilt": (
-        {"how": "noise", "part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.Spoilt) is not None,
+        {"how": "noise", "part": 1.0},
+        lambda fleet, _: active_fault(fleet, at_node.MalformedResponses) is not None,
     ),
-    "turning-away": ({"part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.TurnsAway) is not None),
-    "reports-late": ({"by_s": 1.0}, lambda fleet, _: active_fault(fleet, at_node.ReportsLate) is not None),
+    "turning-away": (
+        {"part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.RejectsRequests) is not None,
+    ),
+    "reports-late": ({"by_s": 1.0}, lambda fleet, _: active_fault(fleet, at_node.DelayedReports) is not None),
     "reports-wrong": (
-        {"how": "noise"}, lambda fleet, _: active_fault(fleet, at_node.ReportsWrong) is not None,
+        {"how": "noise"}, lambda fleet, _: active_fault(fleet, at_node.InvalidReports) is not None,
     ),
     "close-crossing": (
         {"within_s": 0.1, "part": 1.0},
-        lambda fleet, _: active_fault(fleet, at_node.CrossingClose) is not None,
+        lambda fleet, _: active_fault(fleet, at_node.EarlyClose) is not None,
     ),
     "discovery-down": ({"how": "refuse"}, lambda fleet, _: not service(fleet).listening),
     "discovery-slow": (
         {"factor": 9.0},
-        lambda fleet, _: service(fleet).active_faults.last(at_discovery.SlowCalls) is not None,
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.SlowRequests) is not None,
     ),
     "discovery-silent": (
-        {}, lambda fleet, _: service(fleet).active_faults.last(at_discovery.Silent) is not None,
+        {}, lambda fleet, _: service(fleet).active_faults.last(at_discovery.Unresponsive) is not None,
     ),
     "discovery-garbage": (
         {"how": "noise"},
@@ -311,7 +314,7 @@
     ),
     "zone-grey": (
         {"every": 3, "factor": 5.0, "resets": 0.1},
-        lambda fleet, _: active_fault(fleet, at_node.SlowNow) is not None,
+        lambda fleet, _: active_fault(fleet, at_node.SlowEveryNth) is not None,
     ),
     "zone-drained": (
         {"gap_s": 0.1, "drain_s": 0.3},
@@ -328,7 +331,7 @@
     ),
     "lists-differ": (
         {"part": 1.0, "by_s": 0.2},
-        lambda fleet, _: service(fleet).active_faults.last(at_discovery.Behind) is not None,
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.DelayedUpdates) is not None,
     ),
     "link-jitter": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) > 0),
     "node-banned": (
--- a/tests/lab/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -12,7 +12,7 @@
 from brambleusher.lab.stand_ins.bad_client import BAD_KINDS, BadClients, BadKind
 from brambleusher.lab.stand_ins.client import Client, RequestAttempt, retry_delay_s, serialize_request
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
-from brambleusher.lab.stand_ins.node import Node, Resets, Spoilt, TurnsAway
+from brambleusher.lab.stand_ins.node import MalformedResponses, Node, RejectsRequests, Resets
 from brambleusher.lab.stand_ins.settings import (
     ClientSettings,
     DiscoverySettings,
@@ -131,7 +131,7 @@
 
 def test_refusals_are_heeded_and_late_answers_given_up() -> None:
     lab = Lab()
-    node_in(lab, TurnsAway())
+    node_in(lab, RejectsRequests())
     refused = play(lab, [ask("a1")], tries=3, backoff="fixed", backoff_s=0.05).records[0]
     assert [(each.id, each.status) for each in refused.tries] == [("a1", 503), ("a1-1", 503), ("a1-2", 503)]
     lab = Lab()
@@ -147,7 +147,7 @@
     lab = Lab()
     assert [each.end for each in play(lab, [ask("a1")], tries=2).records[0].tries] == ["unreachable"] * 2
     lab = Lab()
-    node_in(lab, Spoilt("strange-status"))
+    node_in(lab, MalformedResponses("strange-status"))
     assert [each.end for each in play(lab, [ask("a1")], tries=1).records[0].tries] == ["unreadable"]
 
 
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -136,7 +136,7 @@
 def test_calls_wait_their_turn_and_fail() -> None:
     for fails_by, how in (("503", "503"), ("reset", "ConnectionResetError")):
         lab = Lab()
-        discovery_in(lab, at_discovery.SlowCalls(50.0), call_s=0.1, timeout_s=3.0, fails_by=fails_by)
+        discovery_in(lab, at_discovery.SlowRequests(50.0), call_s=0.1, timeout_s=3.0, fails_by=fails_by)
         assert watch(lab) == ([], how)
     lab = Lab()
     discovery_in(lab, call_s=0.5, line_s=0.0)
@@ -174,7 +174,7 @@
 
 def test_silent() -> None:
     lab = Lab()
-    fault = at_discovery.Silent()
+    fault = at_discovery.Unresponsive()
     discovery = discovery_in(lab)
     call = discovery.scheduler.call_soon
     lab.world.after(500_000_000, lambda: call(lambda: discovery.begin(fault)))
--- a/tests/lab/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -11,7 +11,7 @@
 
 from brambleusher.lab.stand_ins import node as at_node
 from brambleusher.lab.stand_ins.client import serialize_request
-from brambleusher.lab.stand_ins.node import Execution, Node, ReportHow, SpoiltHow
+from brambleusher.lab.stand_ins.node import Execution, MalformedKind, Node, ReportHow
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.net.http import HttpError, Message, MessageReader
 from brambleusher.net.upstream_responses import parse_load_report
@@ -172,10 +172,10 @@
 READABLE = {"second-copy", "noise-behind", "interim", "bad-report"}
 
 
-@pytest.mark.parametrize("how", get_args(SpoiltHow))
-def test_spoilt_answers(how: SpoiltHow) -> None:
+@pytest.mark.parametrize("how", get_args(MalformedKind))
+def test_spoilt_answers(how: MalformedKind) -> None:
     lab = Lab()
-    node = node_in(lab, at_node.Spoilt(how), report_fields=())
+    node = node_in(lab, at_node.MalformedResponses(how), report_fields=())
     got, ended = lab.talk(request(), wait=1.0)
     reader = MessageReader.responses()
     reader.feed(got)
@@ -214,11 +214,11 @@
 
 def test_closes_that_cross() -> None:
     lab = Lab()
-    node = node_in(lab, at_node.CrossingClose(0.1))
+    node = node_in(lab, at_node.EarlyClose(0.1))
     got, ended = lab.talk(request(), wait=1.0)
     assert len(answers(got)) == 1 and ended == "end"
     lab = Lab()
-    node = node_in(lab, at_node.CrossingClose(0.1, unread=True))
+    node = node_in(lab, at_node.EarlyClose(0.1, unread=True))
     got, ended = lab.talk(request("r2"), request("r3"), pause=0.5)
     assert [json.loads(each.body)["request"] for each in answers(got)] == ["r2"]
     assert ended == "ConnectionResetError" and [each.request for each in node.executions] == ["r2"]
@@ -249,7 +249,7 @@
 
 def test_turning_away() -> None:
     lab = Lab()
-    node = node_in(lab, at_node.TurnsAway(status=504))
+    node = node_in(lab, at_node.RejectsRequests(status=504))
     answer = answers(lab.talk(request())[0])[0]
     assert (answer.status, answer.headers["not-started"]) == (504, "1")
     assert made_by(node) == [("r1", "turned away", False)]
@@ -267,12 +267,12 @@
     told = loads(lab)
     report = parse_load_report(told[-1])
     assert report is not None and report.utilisation is not None and 0.05 < report.utilisation < 0.4
-    lab.call(node.scheduler, lambda: node.begin(at_node.ReportsLate(60.0)))
+    lab.call(node.scheduler, lambda: node.begin(at_node.DelayedReports(60.0)))
     assert loads(lab) == [None] * 4
     readable = {"negative", "huge", "idle"}
     for how in get_args(ReportHow):
         lab = Lab()
-        node_in(lab, at_node.ReportsWrong(how), **usual)
+        node_in(lab, at_node.InvalidReports(how), **usual)
         last = loads(lab)[-1]
         assert (last is None) == (how == "absent")
         if how in readable:
