--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -406,7 +406,7 @@
         attempt.over = True
         if status is not api.AttemptStatus.OK and attempt.job is not None:
             machine = self.machines[attempt.node]
-            if not machine.runs(attempt.job) and machine.drop(attempt.job, self.now):
+            if not machine.is_running(attempt.job) and machine.drop(attempt.job, self.now):
                 self._wake(attempt.node)
         asked = self.open[attempt.request][0]
         served = status is api.AttemptStatus.OK
@@ -433,7 +433,7 @@
         if node in self.demand.fails:
             self.attempts += 1
             reply(api.AttemptStatus.ERROR)
-        elif machine.full:
+        elif machine.is_full:
             reply(api.AttemptStatus.OVERLOADED)
         else:
             self.attempts += 1
--- a/brambleusher/lab/stand_ins/machine.py
+++ b/brambleusher/lab/stand_ins/machine.py
@@ -55,7 +55,7 @@
         self._worked = 0.0  # work done since the start, in seconds on a standard core
         self._cold_arrivals: deque[tuple[float, float]] = deque()  # times and work of the arrivals while cold
         self.fell_at: float | None = None
-        # Losses of capacity from external causes, set by `burden`.
+        # Losses of capacity from external causes, set by `set_capacity_loss`.
         self._slow, self._neighbour_share, self._hung, self._connection_tax = 1.0, 0.0, False, 0.0
         self._busy = 0.0  # CPU time used since the last report, in seconds
         self._finished = 0  # number of jobs finished since the last report
@@ -66,17 +66,17 @@
     # --- state ----------------------------------------------------------------------------------
 
     @property
-    def held(self) -> int:
+    def job_count(self) -> int:
         """Number of running and queued requests."""
         return len(self._running) + len(self._waiting)
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether all slots and the queue are full."""
         return len(self._running) >= self._slots and len(self._waiting) >= self._queue_limit
 
     @property
-    def cold(self) -> bool:
+    def is_cold(self) -> bool:
         """Whether the machine is still warming up."""
         return self._warmth < 1.0
 
@@ -97,13 +97,13 @@
     # --- work -----------------------------------------------------------------------------------
 
     def add(self, job: Job, now: float) -> None:
-        """Add a job; the caller has checked that the machine is not `full`."""
+        """Add a job; the caller has checked that `is_full` is False."""
         self.advance(now)
         self._record_arrival(job.work, now)
         self._waiting.append(job)
         self._fill_slots()
 
-    def refused(self, work: float, now: float) -> None:
+    def record_rejected(self, work: float, now: float) -> None:
         """Record a rejected request, which still counts toward overload during warm-up."""
         self._record_arrival(work, now)
 
@@ -119,11 +119,11 @@
         self._fill_slots()
         return True
 
-    def runs(self, job: Job) -> bool:
+    def is_running(self, job: Job) -> bool:
         """Return whether a job is running."""
         return job in self._running
 
-    def spend(self, work: float, now: float) -> None:
+    def add_background_work(self, work: float, now: float) -> None:
         """Do work that belongs to no job, such as a handshake; it delays the running jobs."""
         self.advance(now)
         self._busy += work / self.settings.speed
@@ -132,7 +132,7 @@
             for job in self._running:
                 job.end += delay
 
-    def burden(
+    def set_capacity_loss(
         self,
         now: float,
         slow: float | None = None,
@@ -160,7 +160,7 @@
         """Advance to a given time, and call `done` of each job that has finished, with its finish time."""
         while (at := self.next_at()) is not None and at <= now + EPSILON:
             self._advance_to(max(at, self._now))
-            if self.cold and self._now >= self._warm_at - EPSILON:
+            if self.is_cold and self._now >= self._warm_at - EPSILON:
                 self._warm_up()
             service = self._service + EPSILON
             for job in [job for job in self._running if job.end <= service]:
@@ -175,12 +175,12 @@
         """Return the time of the next finished job or capacity change; None if there is none."""
         if not self._running:
             # The warm-up of a machine without work is computed when the next job arrives.
-            return self._warm_at if self.cold and self._warm_at <= self._now + EPSILON else None
+            return self._warm_at if self.is_cold and self._warm_at <= self._now + EPSILON else None
         at = math.inf
         if self._rate > 0:
             left = min(job.end for job in self._running) - self._service
             at = self._now + max(0.0, left) / self._rate
-        if self.cold:
+        if self.is_cold:
             at = min(at, self._warm_at)
         return None if at == math.inf else at
 
@@ -200,7 +200,7 @@
             return 0.0
         settings = self.settings
         cores_per_job = min(1.0, settings.cores / len(self._running))
-        excess = max(0.0, self.held / settings.cores - settings.thrash_at)
+        excess = max(0.0, self.job_count / settings.cores - settings.thrash_at)
         rate = settings.speed * cores_per_job * self._warmth / (1.0 + settings.thrash * excess)
         return rate * (1.0 - self._neighbour_share) * (1.0 - self._connection_tax) / self._slow
 
@@ -211,7 +211,7 @@
             self._add_report()
         self._integrate(to, cores)
         if not self._running:
-            while self.cold and self._warm_at <= to + EPSILON:
+            while self.is_cold and self._warm_at <= to + EPSILON:
                 self._warm_up()
 
     def _integrate(self, to: float, cores: int) -> None:
@@ -234,7 +234,7 @@
 
     def _record_arrival(self, work: float, now: float) -> None:
         """Record work that arrives at a cold machine, and stop the machine permanently on overload."""
-        if not self.cold or not self.settings.falls or self.fell_at is not None:
+        if not self.is_cold or not self.settings.falls or self.fell_at is not None:
             return
         arrivals, settings = self._cold_arrivals, self.settings
         arrivals.append((now, work))
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -210,7 +210,7 @@
         slow = math.prod(each.factor for each in self.active_faults.all(Slow))
         taken = self._update_neighbours(self.active_faults.all(Neighbour))
         hung = bool(self.active_faults.all(Hung))
-        self.machine.burden(self.scheduler.now(), slow=slow, taken=taken, hung=hung)
+        self.machine.set_capacity_loss(self.scheduler.now(), slow=slow, taken=taken, hung=hung)
         self._set_timer()
 
     def _update_neighbours(self, active: list[Neighbour]) -> float:
@@ -235,7 +235,7 @@
     @property
     def busy(self) -> int:
         """Number of running and queued requests."""
-        return self.machine.held
+        return self.machine.job_count
 
     def close(self, reset: bool = True) -> None:
         """End the process; the requests it is processing are lost."""
@@ -273,7 +273,7 @@
 
     def _apply_connection_tax(self) -> None:
         tax = self.settings.full_tax * min(1.0, len(self.connections) / self.settings.connections)
-        self.machine.burden(self.scheduler.now(), tax=tax)
+        self.machine.set_capacity_loss(self.scheduler.now(), tax=tax)
         self._set_timer()
 
     def _draw_reset(self, where: ResetWhere) -> Resets | None:
@@ -356,7 +356,7 @@
             node=self.name, process=self.process, connection=connection.number, request=name,
             request_class=headers.get("request-class", ""), target=request.start[1],
             body_crc=zlib.crc32(request.body), work_s=seconds, capacity=self.machine.capacity,
-            cold=self.machine.cold, came_ns=now_ns,
+            cold=self.machine.is_cold, came_ns=now_ns,
         )  # fmt: skip
         self.executions.append(execution)
         due = self.scheduler.now() + wait if wait else math.inf
@@ -368,7 +368,7 @@
         """Reject a request or add it to the machine, after the handshake on a connection's first request."""
         settings, now = self.settings, self.scheduler.now()
         if first and settings.handshake_work_s:
-            self.machine.spend(settings.handshake_work_s, now)
+            self.machine.add_background_work(settings.handshake_work_s, now)
         rejections = [
             each for each in self.active_faults.all(RejectsRequests) if self.rng.random() < each.part
         ]
@@ -387,7 +387,7 @@
         if work.client_gone:
             return
         self.machine.advance(now)
-        if (self.draining and self.settings.drain_refuses) or self.machine.full:
+        if (self.draining and self.settings.drain_refuses) or self.machine.is_full:
             self._turn_away(work, 503)
             return
 
@@ -412,7 +412,7 @@
 
     def _turn_away(self, work: _Work, status: int) -> None:
         self.turned_away += 1
-        self.machine.refused(work.execution.work_s, self.scheduler.now())
+        self.machine.record_rejected(work.execution.work_s, self.scheduler.now())
         work.answer = status, [("Not-Started", "1")], b"not started\n"
         self._finish(work, "turned away")
         self._check_fall()
@@ -449,7 +449,7 @@
                 work.timer.cancel()
                 self._finish(work, "dropped")
             return
-        if settings.cancel == "none" or (self.machine.runs(job) and settings.cancel != "all"):
+        if settings.cancel == "none" or (self.machine.is_running(job) and settings.cancel != "all"):
             return
         if self.machine.drop(job, self.scheduler.now()):
             self._finish(work, "stopped" if execution.ran else "dropped")
@@ -515,7 +515,7 @@
         values = {
             "throughput": round(report.throughput, 3), "utilization": round(report.utilization, 4),
             "qps": round(report.throughput, 3), "util": round(report.utilization, 4),
-            "outstanding": self.machine.held, "inflight": self.machine.held,
+            "outstanding": self.machine.job_count, "inflight": self.machine.job_count,
         }  # fmt: skip
         return [("Server-Load", orjson.dumps({name: values.get(name, 0) for name in fields}).decode())]
 
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -136,7 +136,7 @@
             part = 0.0
             if node is not None and place.up:
                 node.machine.advance(world.now_ns / SECOND)
-                part = node.machine.held / (settings.cores * settings.slots_per_core)
+                part = node.machine.job_count / (settings.cores * settings.slots_per_core)
             self.held[place.spec.id] = max(self.held[place.spec.id], part)
             if part > 1.0:
                 self._since.setdefault(place.spec.id, world.now_ns)
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -197,7 +197,7 @@
 
 
 def cold(node: Any) -> bool:
-    return bool(node.machine.cold)
+    return bool(node.machine.is_cold)
 
 
 def linked(fleet: Fleet, to_node: bool) -> bool:
--- a/tests/lab/test_stand_in_machine.py
+++ b/tests/lab/test_stand_in_machine.py
@@ -74,16 +74,16 @@
 def test_a_burden_weighs_from_its_moment_on(burden: dict[str, Any], factor: float) -> None:
     bench = Bench()
     bench.add("a", 1.0, 0.0)
-    bench.machine.burden(0.4, **burden)
+    bench.machine.set_capacity_loss(0.4, **burden)
     assert bench.run() == {"a": round(0.4 + 0.6 * factor, 6)}
 
 
 def test_a_hung_machine_goes_on_where_it_was() -> None:
     bench = Bench()
     bench.add("a", 1.0, 0.0)
-    bench.machine.burden(0.25, hung=True)
+    bench.machine.set_capacity_loss(0.25, hung=True)
     assert bench.machine.next_at() is None
-    bench.machine.burden(9.0, hung=False)
+    bench.machine.set_capacity_loss(9.0, hung=False)
     assert bench.run() == {"a": 9.75}
 
 
@@ -100,9 +100,9 @@
 def test_the_waiting_room_is_bounded() -> None:
     bench = Bench(queue_per_core=2)
     for name in "abc":
-        assert not bench.machine.full
+        assert not bench.machine.is_full
         bench.add(name, 1.0, 0.0)
-    assert bench.machine.full and bench.machine.held == 3
+    assert bench.machine.is_full and bench.machine.job_count == 3
 
 
 @pytest.mark.parametrize("warm_by", ["time", "work"])
@@ -115,7 +115,7 @@
     for number in range(90):
         bench.add(f"j{number}", 0.1, 0.0)
     bench.run(6.0)
-    assert bench.machine.cold == (warm_by == "time")  # 2 s of work complete the warm-up
+    assert bench.machine.is_cold == (warm_by == "time")  # 2 s of work complete the warm-up
     bench.run(9.0)
     idle.machine.advance(9.0)
     assert bench.machine.capacity == idle.machine.capacity == 1.0
@@ -126,9 +126,9 @@
     for number in range(9):  # 0.9 s of work in a window with a limit of 2 * 0.5 * 1 s
         bench.add(f"a{number}", 0.1, 0.01 * number)
     assert bench.machine.fell_at is None
-    bench.machine.refused(0.2, 0.5)  # within the allowance for random variation
+    bench.machine.record_rejected(0.2, 0.5)  # within the allowance for random variation
     assert bench.machine.fell_at is None
-    bench.machine.refused(0.3, 0.5)  # rejected requests count toward overload too
+    bench.machine.record_rejected(0.3, 0.5)  # rejected requests count toward overload too
     assert bench.machine.fell_at == 0.5
     warm = Bench(fall_multiple=2.0, fall_s=1.0)
     for number in range(50):
