--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -77,7 +77,7 @@
     return next((port - PORT for port in ports if port >= PORT), None)
 
 
-class Books:
+class ConsistencyChecker:
     """Checks the versions that proxies accept and instances send against the consistency rules."""
 
     def __init__(self) -> None:
@@ -85,26 +85,28 @@
         self.sent: dict[str, int] = {}  # newest sent version by instance, kept over the instance's restarts
         self.current = 0
         self.superseded: dict[int, int] = {}  # time at which each version stopped being the newest
-        self.older_told = False  # discovery sent an older list, which instances can't recognize as outdated
-        self.judged = 0
+        self.older_list_sent = (
+            False  # discovery sent an older list, which instances can't recognize as outdated
+        )
+        self.check_count = 0
 
     def change(self, version: int, now: int) -> None:
         """Record that discovery has a new version."""
         self.superseded[self.current] = now
         self.current = version
 
-    def sends(self, instance: str, data_stamp: int, now: int) -> None:
+    def check_sent(self, instance: str, data_stamp: int, now: int) -> None:
         """Check an assignment that an instance sends; raises `Violation`."""
-        self.judged += 1
+        self.check_count += 1
         if data_stamp < self.sent.get(instance, 0):
             raise Violation(f"{instance} sent {data_stamp} after {self.sent[instance]}")
         self.sent[instance] = data_stamp
-        if not self.older_told and now - self.superseded.get(data_stamp, now) > MAX_SUPERSEDED_TIME:
+        if not self.older_list_sent and now - self.superseded.get(data_stamp, now) > MAX_SUPERSEDED_TIME:
             raise Violation(f"{instance} sent {data_stamp}, which was superseded for too long")
 
-    def accepts(self, proxy: str, incarnation: int, stamp: int) -> None:
+    def check_accepted(self, proxy: str, incarnation: int, stamp: int) -> None:
         """Check an assignment that a proxy accepts; raises `Violation`."""
-        self.judged += 1
+        self.check_count += 1
         before = self.accepted.get((proxy, incarnation), 0)
         if stamp < before:
             raise Violation(f"{proxy} was given {stamp} after it had accepted {before}")
@@ -155,12 +157,12 @@
         self.connection: _Connection | None = None
 
 
-def accepts_all(kind: str, resources: list[Any]) -> str | None:
+def accept_all(kind: str, resources: list[Any]) -> str | None:
     """Return the verdict of a proxy that accepts every response."""
     return None
 
 
-def refuses_all(kind: str, resources: list[Any]) -> str | None:
+def reject_all(kind: str, resources: list[Any]) -> str | None:
     """Return the verdict of a proxy that rejects every response."""
     return "rejected unconditionally"
 
@@ -178,7 +180,7 @@
 
     def __init__(self, seed: int, folder: Path, breakage: str = "") -> None:
         self.rng = random.Random(seed)
-        self.books, self.breakage = Books(), breakage
+        self.checker, self.breakage = ConsistencyChecker(), breakage
         self.now = 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
@@ -189,7 +191,7 @@
         names = [f"control-{at}" for at in range(INSTANCES)]
         self.instances = [_Instance(name, configuration(name, folder)) for name in names]
         self.proxies = [
-            _Proxy(f"proxy-{at}", bool(at % 2), refuses_all if at == PROXIES - 1 else accepts_all)
+            _Proxy(f"proxy-{at}", bool(at % 2), reject_all if at == PROXIES - 1 else accept_all)
             for at in range(PROXIES)
         ]
 
@@ -200,7 +202,7 @@
         self._count += 1
         heapq.heappush(self._events, (self.now + delay, self._count, callback))
 
-    def run(self) -> Books:
+    def run(self) -> ConsistencyChecker:
         """Run the whole schedule; raises `Violation`."""
         self._change_list()
         for instance in self.instances:
@@ -216,7 +218,7 @@
             self.now, _, callback = heapq.heappop(self._events)
             callback()
         self._check_recovery()
-        return self.books
+        return self.checker
 
     def _repeat(self, period: int, callback: Callable[[], None]) -> None:
         def repeat() -> None:
@@ -245,7 +247,7 @@
         stamp = HostEntry(STAMP, "z", "k", 0, HostState.DRAINING)
         machines[STAMP] = Endpoint(stamp, ("10.0.0.2", PORT + version))
         self.lists.append(machines)
-        self.books.change(version, self.now)
+        self.checker.change(version, self.now)
 
     def _maybe_change_list(self) -> None:
         if self.now < END - 10 * SECOND and self.rng.random() < 0.5:
@@ -292,7 +294,7 @@
         disk = instance.disk
         floor = None if disk.wiped or self.breakage == "store" else disk.position
         if disk.wiped:  # only its subscribers still know what the instance sent before
-            self.books.sent.pop(instance.name, None)
+            self.checker.sent.pop(instance.name, None)
         disk.wiped = False
         instance.incarnation += 1
         instance.core = Core(
@@ -400,7 +402,7 @@
                     stamp = stamp_of(endpoint_pb2.ClusterLoadAssignment.FromString(resource.body))
                     # With a full disk, updates that only remove nodes are sent before they are written.
                     if stamp is not None and not connection.instance.disk.full:
-                        self.books.sends(connection.instance.name, stamp, self.now)
+                        self.checker.check_sent(connection.instance.name, stamp, self.now)
             connection.down_at = max(connection.down_at, self.now) + self.rng.randrange(1, 30) * MS
             self.at(
                 connection.down_at - self.now,
@@ -464,7 +466,7 @@
         for each in subscription.resources.values() if subscription is not None else ():
             stamp = stamp_of(each)
             if stamp is not None:
-                self.books.accepts(proxy.name, proxy.incarnation, stamp)
+                self.checker.check_accepted(proxy.name, proxy.incarnation, stamp)
         self._send_requests(proxy, connection, requests)
 
     def _resume_reading(self, proxy: _Proxy, connection: _Connection) -> None:
@@ -524,7 +526,7 @@
             self.down = False
             if older is not None:
                 self.served_version = max(1, older)
-                self.books.older_told = True
+                self.checker.older_list_sent = True
                 self.at(3 * SECOND, caught_up)
 
         def caught_up() -> None:
@@ -556,7 +558,7 @@
 BREAKAGES = ("store", "claims", "silence", "floor")
 
 
-def run(seed: int, folder: Path, breakage: str = "") -> Books:
+def run(seed: int, folder: Path, breakage: str = "") -> ConsistencyChecker:
     """Run one schedule; raises `Violation` with the seed in its text."""
     try:
         return History(seed, folder, breakage).run()
@@ -572,15 +574,15 @@
     parser.add_argument("--breakage", choices=BREAKAGES, default="")
     args = parser.parse_args()
     logging.getLogger("brambleusher").setLevel(logging.CRITICAL)
-    judged = broken = 0
+    check_count = broken = 0
     with tempfile.TemporaryDirectory() as folder:
         for seed in range(args.first, args.first + args.seeds):
             try:
-                judged += run(seed, Path(folder), args.breakage).judged
+                check_count += run(seed, Path(folder), args.breakage).check_count
             except Violation as error:
                 broken += 1
                 print(error)
-    print(f"{args.seeds} schedules, {judged} views checked, {broken} broke a rule")
+    print(f"{args.seeds} schedules, {check_count} views checked, {broken} broke a rule")
     return 1 if broken else 0
 
 
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -1022,7 +1022,7 @@
 
 @pytest.mark.usefixtures("quiet")
 def test_no_view_is_older_than_one_accepted_before_whatever_happens(tmp_path: Path) -> None:
-    judged = sum(control_history.run(seed, tmp_path).judged for seed in range(15))
+    judged = sum(control_history.run(seed, tmp_path).check_count for seed in range(15))
     assert judged > 1000
 
 
