--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -43,7 +43,7 @@
     caller_commands,
     callers,
     entry,
-    modules,
+    js_packages_dir,
 )
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.fleet_balancer import FleetBalancer, ReportedOutcomes, host_statuses
@@ -140,14 +140,14 @@
             await call.write(data)
         while (data := await call.read()) is not grpc.aio.EOF:
             at = time.monotonic()
-            if self.proxy.complete():
+            if self.proxy.is_complete():
                 found = _VERSION.match(data)
                 self.came.append((at, int(found[1]) if found is not None else 0, len(data)))
                 await call.write(_acknowledge(self.proxy, data))
                 continue
             for request in self.proxy.receive(data):
                 await call.write(request)
-            if self.proxy.complete():
+            if self.proxy.is_complete():
                 self.complete.set()
                 if stalls:
                     await asyncio.Event().wait()
@@ -236,7 +236,7 @@
             victim = victim | {"state": "Terminating" if victim["state"] == "Ready" else "Ready"}
             listed[at % nodes] = victim
             if at % 10 == 9:
-                discovery.whole(listed[: at % nodes] + listed[at % nodes + 1 :])
+                discovery.replace_list(listed[: at % nodes] + listed[at % nodes + 1 :])
                 listed[at % nodes] = victim = victim | {"state": "Terminating"}
             began = usage(program.process.pid)[0]
             told = discovery.change(victim)
@@ -286,12 +286,16 @@
         node = {"id": "g", "locality": {"zone": "z"}}
         bootstrap.write_text(json.dumps({"xds_servers": [server], "node": node}))
         commands = caller_commands(ROOT)
-        environment = {**os.environ, "GRPC_XDS_BOOTSTRAP": str(bootstrap), "NODE_PATH": str(modules(ROOT))}
+        environment = {
+            **os.environ,
+            "GRPC_XDS_BOOTSTRAP": str(bootstrap),
+            "NODE_PATH": str(js_packages_dir(ROOT)),
+        }
         live = {}
         for name, incremental in (("stand-in, whole state", False), ("stand-in, incremental", True)):
             live[name] = LiveProxy(ProxyStandIn(name, "z", incremental), program.addresses["xds"])
             live[name].start()
-            await live[name].until(live[name].proxy.complete)
+            await live[name].wait_until(live[name].proxy.is_complete)
         with callers(commands, environment) as check:
             for at in range(rounds):
                 victim = backends[at % len(backends)]
@@ -299,8 +303,8 @@
                 check()
                 told = discovery.change(entry(victim.name, victim.port, "Terminating"))
                 for name, each in live.items():
-                    await each.until(partial(_without, each, f"127.0.0.1:{victim.port}"))
-                    slowest[name] = max(slowest.get(name, 0.0), (each.heard_at - told) * 1000)
+                    await each.wait_until(partial(_without, each, f"127.0.0.1:{victim.port}"))
+                    slowest[name] = max(slowest.get(name, 0.0), (each.last_response_at - told) * 1000)
                 calls: Counter[str] = Counter()
                 while any(calls[name] < 20 for name in commands):
                     check()
--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -551,7 +551,7 @@
                 stamp = stamp_of(each)
                 if stamp != len(self.lists):
                     raise Violation(f"{proxy.name} ended with {stamp}; the newest is {len(self.lists)}")
-            if not proxy.stand_in.complete():
+            if not proxy.stand_in.is_complete():
                 raise Violation(f"{proxy.name} ended without routes or the clusters that routes refer to")
 
 
--- a/brambleusher/lab/control/xds.py
+++ b/brambleusher/lab/control/xds.py
@@ -226,7 +226,7 @@
             else [e for each in subscription.resources.values() for e in endpoints_of(each)]
         )
 
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether the proxy has routes, and the cluster and assignment of each route."""
         if ROUTES not in self.kinds or not self.kinds[ROUTES].resources:
             return False
--- a/brambleusher/lab/control/xds_live.py
+++ b/brambleusher/lab/control/xds_live.py
@@ -27,7 +27,7 @@
 
 
 class LiveProxy:
-    """A stand-in proxy with its own connection; `heard_at` is the time of its last response."""
+    """A stand-in proxy with its own connection; `last_response_at` is the time of its last response."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         credentials: grpc.ChannelCredentials | None = None,
         window: int | None = None,
     ) -> None:
-        self.proxy, self.heard_at = proxy, 0.0
+        self.proxy, self.last_response_at = proxy, 0.0
         options = [("grpc.use_local_subchannel_pool", 1), ("grpc.max_receive_message_length", -1)]
         if window is not None:  # flow-control window: bytes that may be in flight to the proxy
             options += [("grpc.http2.bdp_probe", 0), ("grpc.http2.lookahead_bytes", window)]
@@ -48,7 +48,7 @@
         self.reading = asyncio.Event()  # while cleared, the proxy reads no responses
         self.reading.set()
         self.ended: grpc.StatusCode | None = None
-        self.why = ""
+        self.end_details = ""
         self._task: asyncio.Task[None] | None = None
 
     def start(self, forget: bool = False) -> None:
@@ -64,21 +64,21 @@
             for data in opening:
                 await stream.write(data)
             while (data := await stream.read()) is not grpc.aio.EOF:
-                self.heard_at = time.monotonic()
+                self.last_response_at = time.monotonic()
                 for answer in self.proxy.receive(data):
                     await stream.write(answer)
                 self._updated.set()
                 await self.reading.wait()
-            self.ended, self.why = await stream.code(), await stream.details()
+            self.ended, self.end_details = await stream.code(), await stream.details()
         except grpc.aio.AioRpcError as error:
-            self.ended, self.why = error.code(), error.details() or ""
+            self.ended, self.end_details = error.code(), error.details() or ""
         except asyncio.InvalidStateError:  # a write to a stream that has ended
-            self.ended, self.why = await stream.code(), await stream.details()
+            self.ended, self.end_details = await stream.code(), await stream.details()
         finally:
             stream.cancel()
             self._updated.set()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait for a condition that a response makes true; raises `TimeoutError` after `WAIT` seconds."""
         async with asyncio.timeout(WAIT):
             while not condition():
@@ -181,7 +181,7 @@
             self._send(data)
             return at
 
-    def whole(self, servers: list[dict[str, Any]]) -> float:
+    def replace_list(self, servers: list[dict[str, Any]]) -> float:
         """Write a whole new list to all watches, and return the time of the write."""
         with self._lock:
             self.version += 1
@@ -191,7 +191,9 @@
             self._send(data)
             return at
 
-    def cut(self, version: int | None = None, servers: list[dict[str, Any]] | None = None) -> None:
+    def disconnect_watches(
+        self, version: int | None = None, servers: list[dict[str, Any]] | None = None
+    ) -> None:
         """Disconnect all watches; later watches receive the given list, or the current one without it."""
         with self._lock:
             if version is not None and servers is not None:
@@ -208,7 +210,7 @@
         with contextlib.suppress(OSError):
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
-        self.cut()
+        self.disconnect_watches()
 
 
 class ControlProgram:
@@ -235,7 +237,7 @@
         return self.process.wait(WAIT)
 
 
-def modules(root: Path) -> Path:
+def js_packages_dir(root: Path) -> Path:
     """Return the directory in which the packages of gRPC's client for Node.js would be installed."""
     return root / ".venv" / "js" / "node_modules"
 
@@ -244,7 +246,7 @@
     """Return the command lines of the installed programs that call through xDS, by client library."""
     out = {"gRPC, C core": [sys.executable, "-m", "brambleusher.lab.control.xds_caller", "xds:///grpc-web"]}
     node = shutil.which("node")
-    if node is not None and (modules(root) / "@grpc" / "grpc-js-xds").exists():
+    if node is not None and (js_packages_dir(root) / "@grpc" / "grpc-js-xds").exists():
         # The trap handler reserves more virtual address space than a limit on the machine may allow.
         script = str(Path(__file__).parent / "xds_caller.js")
         out["gRPC, JavaScript"] = [node, "--disable-wasm-trap-handler", script, "xds:///grpc-web"]
--- a/brambleusher/lab/control/xds_rules.py
+++ b/brambleusher/lab/control/xds_rules.py
@@ -87,13 +87,13 @@
     return bool(required) and not message.HasField(field.name)
 
 
-def faults(message: Message, path: str = "") -> Iterator[str]:
+def rule_violations(message: Message, path: str = "") -> Iterator[str]:
     """Yield a text for each rule that a message or a nested message violates, with `Any` fields unpacked."""
     path = path or message.DESCRIPTOR.name
     if isinstance(message, any_pb2.Any):
         inner = symbol_database.Default().GetSymbol(message.TypeName())()
         assert message.Unpack(inner)
-        yield from faults(inner, f"{path}<{inner.DESCRIPTOR.name}>")
+        yield from rule_violations(inner, f"{path}<{inner.DESCRIPTOR.name}>")
         return
     for group in message.DESCRIPTOR.oneofs:
         if group.GetOptions().Extensions[validate_pb2.required] and not message.WhichOneof(group.name):
@@ -110,4 +110,4 @@
         yield from (f"{path}.{field.name} {text}" for text in _field_violations(value, rules, field))
         if field.type == FieldDescriptor.TYPE_MESSAGE and not field.message_type.GetOptions().map_entry:
             for at, each in enumerate(value if repeated else [value]):
-                yield from faults(each, f"{path}.{field.name}" + (f"[{at}]" if repeated else ""))
+                yield from rule_violations(each, f"{path}.{field.name}" + (f"[{at}]" if repeated else ""))
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -27,7 +27,7 @@
 
 from brambleusher.lab.control import history as control_history
 from brambleusher.lab.control.xds import ProxyStandIn
-from brambleusher.lab.control.xds_rules import faults
+from brambleusher.lab.control.xds_rules import rule_violations
 from brambleusher.loadbalancing import Balancer, api
 from brambleusher.loadbalancing.fleet_balancer import (
     FleetBalancer,
@@ -497,7 +497,7 @@
 def test_a_proxy_gets_all_and_a_drain_at_once(tmp_path: Path, incremental: bool) -> None:
     core = core_with(tmp_path, endpoint("n1"), endpoint("n2"))
     stream, proxy = connect_proxy(core, incremental=incremental)
-    assert proxy.complete() and set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
+    assert proxy.is_complete() and set(proxy.usable()) == {"10.0.0.1:9001", "10.0.0.1:9002"}
     core.record_endpoint_list(update(2, endpoint("n1", api.HostState.DRAINING), full=False), 1)
     exchange(core, stream, proxy, [], 1)
     assert len(proxy.usable()) == 2  # the new position is not on durable storage yet
@@ -617,12 +617,12 @@
 
     def verdict(kind: str, resources: list[Any]) -> str | None:
         seen.append(kind)
-        return None if proxy.complete() else "a route leads nowhere"
+        return None if proxy.is_complete() else "a route leads nowhere"
 
     proxy.verdict = verdict
     exchange(core, stream, proxy, [], 1)
     assert seen == [CDS, RDS, CDS]  # the deleted cluster is removed after the routes to it
-    assert proxy.complete() and set(proxy.kinds[CDS].resources) == {"look"}
+    assert proxy.is_complete() and set(proxy.kinds[CDS].resources) == {"look"}
     assert not stream.subscriber.rejected(RDS)
 
 
@@ -687,15 +687,15 @@
         snapshot = core.snapshot("z", locality_level, core.config.groups[0], 0)
         for kind, message in MESSAGE_TYPES.items():
             for resource in snapshot.kinds[kind].values():
-                assert not list(faults(message.FromString(resource.body))), name
+                assert not list(rule_violations(message.FromString(resource.body))), name
     bad = cluster_pb2.Cluster()
     bad.connect_timeout.seconds = 0
     bad.outlier_detection.max_ejection_percent.value = 101
     bad.load_assignment.endpoints.add().load_balancing_weight.value = 0
-    found = " | ".join(faults(bad))
+    found = " | ".join(rule_violations(bad))
     for part in ("Cluster.name is", "connect_timeout", "max_ejection_percent", "load_balancing_weight"):
         assert part in found
-    assert list(faults(route_components_pb2.RouteMatch())) == [
+    assert list(rule_violations(route_components_pb2.RouteMatch())) == [
         "RouteMatch.path_specifier has none of its fields"
     ]
 
--- a/tests/xds/test_control_live.py
+++ b/tests/xds/test_control_live.py
@@ -44,9 +44,9 @@
     caller_commands,
     callers,
     entry,
-    modules,
+    js_packages_dir,
 )
-from brambleusher.lab.control.xds_rules import faults
+from brambleusher.lab.control.xds_rules import rule_violations
 from brambleusher.xds.config import StreamLimits, parse_control_config
 from brambleusher.xds.service import Service
 from brambleusher.xds.wire import LRS
@@ -117,7 +117,7 @@
     # The types of messages packed in the bootstrap must be imported before parsing.
     assert tls_pb2.DESCRIPTOR and http_protocol_options_pb2.DESCRIPTOR
     envoy = ParseDict(bootstraps()["yaml"], bootstrap_pb2.Bootstrap())
-    assert not list(faults(envoy))
+    assert not list(rule_violations(envoy))
     assert envoy.dynamic_resources.HasField("ads_config")
     named = {cluster.name for cluster in envoy.static_resources.clusters}
     used = {service.envoy_grpc.cluster_name for service in envoy.dynamic_resources.ads_config.grpc_services}
@@ -142,14 +142,15 @@
     (tmp_path / "bootstrap.json").write_text(json.dumps(bootstrap))
     commands = caller_commands(ROOT)
     environment = {
-        **os.environ, "GRPC_XDS_BOOTSTRAP": str(tmp_path / "bootstrap.json"), "NODE_PATH": str(modules(ROOT))
+        **os.environ, "GRPC_XDS_BOOTSTRAP": str(tmp_path / "bootstrap.json"),
+        "NODE_PATH": str(js_packages_dir(ROOT))
     }  # fmt: skip
 
     async def main(check: Callable[[], None]) -> None:
         live = [LiveProxy(ProxyStandIn(f"p{at}", "z", bool(at)), program.addresses["xds"]) for at in (0, 1)]
         for each in live:
             each.start()
-            await each.until(each.proxy.complete)
+            await each.wait_until(each.proxy.is_complete)
         before: Counter[tuple[str, str]] = Counter()
         while any(before[name, "n2"] < 3 for name in commands):
             check()
@@ -158,7 +159,7 @@
         drained = f"127.0.0.1:{nodes[2].port}"
         discovery.change(entry("n2", nodes[2].port, "Terminating"))
         for each in live:
-            await each.until(partial(lacks_endpoint, each, drained))
+            await each.wait_until(partial(lacks_endpoint, each, drained))
         others: Counter[str] = Counter()  # benchmarks/control.py measures how long a drain takes
         while any(others[name] < IN_A_ROW for name in commands):
             check()
@@ -183,7 +184,7 @@
 
 
 def test_the_client_for_node_is_among_the_callers() -> None:
-    if shutil.which("node") is None or not (modules(ROOT) / "@grpc" / "grpc-js-xds").exists():
+    if shutil.which("node") is None or not (js_packages_dir(ROOT) / "@grpc" / "grpc-js-xds").exists():
         pytest.skip("no Node, or not its gRPC packages in .venv/js: only the C core is called through")
     assert set(caller_commands(ROOT)) == {"gRPC, C core", "gRPC, JavaScript"}
 
@@ -197,23 +198,23 @@
         reading = LiveProxy(ProxyStandIn("reading", "z", False), target)
         for each in (stalled, reading):
             each.start()
-            await each.until(each.proxy.complete)
+            await each.wait_until(each.proxy.is_complete)
         stalled.reading.clear()
         for at in range(100):
             discovery.change(entry(f"n{at}", 10_000 + at, "Terminating"))
             drained = f"127.0.0.1:{10_000 + at}"
-            await reading.until(partial(lacks_endpoint, reading, drained))
+            await reading.wait_until(partial(lacks_endpoint, reading, drained))
         before = stalled.proxy.responses
         stalled.reading.set()
-        await stalled.until(lambda: len(stalled.proxy.usable()) == 400)
+        await stalled.wait_until(lambda: len(stalled.proxy.usable()) == 400)
         assert stalled.proxy.responses - before <= 3  # two unacknowledged responses, and the newest
         stalled.reading.clear()
         service.core.config = replace(service.core.config, bounds=StreamLimits(stall_ms=300))
         # The stalled proxy does not continue to read, so only its own stream is ended.
         discovery.change(entry("n499", 10_499, "Terminating"))
-        await reading.until(lambda: len(reading.proxy.usable()) == 399)
+        await reading.wait_until(lambda: len(reading.proxy.usable()) == 399)
         discovery.change(entry("n499", 10_499))
-        await reading.until(lambda: len(reading.proxy.usable()) == 400)
+        await reading.wait_until(lambda: len(reading.proxy.usable()) == 400)
         await until(lambda: len(service.core.streams) == 1)
         assert service.server.ended_for_cause == 1
         for each in (stalled, reading):
@@ -228,7 +229,7 @@
     async def main(service: Service, target: str) -> None:
         good = LiveProxy(ProxyStandIn("good", "z", True), target)
         good.start()
-        await good.until(good.proxy.complete)
+        await good.wait_until(good.proxy.is_complete)
         first = ProxyStandIn("p", "z", False).connect()[0]
         for data, codes in (
             ([b"\xff\xff\xff"], {grpc.StatusCode.INVALID_ARGUMENT}),
@@ -239,12 +240,12 @@
             bad = LiveProxy(ProxyStandIn("bad", "z", False), target)
             bad.proxy.connect = partial(fixed_requests, data)  # type: ignore[method-assign]
             bad.start()
-            await bad.until(partial(has_ended, bad))
-            assert bad.ended in codes, bad.why
+            await bad.wait_until(partial(has_ended, bad))
+            assert bad.ended in codes, bad.end_details
             await bad.stop()
         assert service.server.ended_for_cause == 2  # gRPC itself rejected the long message
         discovery.change(entry("n2", 10_002))
-        await good.until(lambda: len(good.proxy.usable()) == 2)
+        await good.wait_until(lambda: len(good.proxy.usable()) == 2)
         assert good.ended is None
         await good.stop()
 
@@ -291,21 +292,21 @@
         ]
         for each in proxies:
             each.start()
-            await each.until(each.proxy.complete)
+            await each.wait_until(each.proxy.is_complete)
         discovery.change(*listed("n3"))
-        await proxies[0].until(lambda: len(proxies[0].proxy.usable()) == 3)
+        await proxies[0].wait_until(lambda: len(proxies[0].proxy.usable()) == 3)
         program.kill()  # the update to the other proxies is still in progress
         for each in proxies:
-            await each.until(partial(has_ended, each))
+            await each.wait_until(partial(has_ended, each))
             await each.stop()
-        discovery.cut(39, listed("n1"))
+        discovery.disconnect_watches(39, listed("n1"))
         program = ControlProgram(config)
         again = LiveProxy(proxies[0].proxy, program.addresses["xds"])
         again.start(forget=True)  # the proxy also loses the versions that it had received
         await until(lambda: "withheld" in (tmp_path / "control.log").read_text())
         assert not again.proxy.kinds["type.googleapis.com/envoy.config.cluster.v3.Cluster"].resources
-        discovery.cut(42, listed("n1", "n2", "n3", "n4"))
-        await again.until(lambda: len(again.proxy.usable()) == 4)
+        discovery.disconnect_watches(42, listed("n1", "n2", "n3", "n4"))
+        await again.wait_until(lambda: len(again.proxy.usable()) == 4)
         await again.stop()
 
     try:
@@ -339,11 +340,11 @@
             await until(lambda: second.core.withheld_reason(second.now_ns()) is None)
             proxy = LiveProxy(ProxyStandIn("p", "z", True), target)
             proxy.start()
-            await proxy.until(proxy.proxy.complete)
+            await proxy.wait_until(proxy.proxy.is_complete)
             one.change(entry("n2", 10_002))
             await until(lambda: second.core.withheld_reason(second.now_ns()) is not None)
             # The instance that is behind ends its streams, so that subscribers move to another instance.
-            await proxy.until(lambda: proxy.ended is grpc.StatusCode.UNAVAILABLE)
+            await proxy.wait_until(lambda: proxy.ended is grpc.StatusCode.UNAVAILABLE)
             await proxy.stop()
 
         await serving(tmp_path / "b", other, both, peers=peers, silence_ms=1500)
@@ -393,7 +394,7 @@
         assert service.certificates is not None
         good = proxy(target, "p.market")
         good.start()
-        await good.until(good.proxy.complete)
+        await good.wait_until(good.proxy.is_complete)
         (stream,) = service.core.streams.values()
         assert stream.identity == "p.market"
         for stranger, code in (
@@ -401,8 +402,8 @@
             (proxy(target, "p.market", theirs), grpc.StatusCode.UNAVAILABLE),
         ):
             stranger.start()
-            await stranger.until(partial(has_ended, stranger))
-            assert stranger.ended is code and not stranger.proxy.responses, stranger.why
+            await stranger.wait_until(partial(has_ended, stranger))
+            assert stranger.ended is code and not stranger.proxy.responses, stranger.end_details
             await stranger.stop()
         held = service.certificates.material
         for bad, says in (
@@ -420,7 +421,7 @@
         assert service.certificates.reload_if_changed() and service.certificates.material is not held
         fresh = proxy(target, "q.market")
         fresh.start()
-        await fresh.until(fresh.proxy.complete)
+        await fresh.wait_until(fresh.proxy.is_complete)
         assert good.ended is None  # open streams are not affected by a reload
         for each in (good, fresh):
             await each.stop()
@@ -453,11 +454,11 @@
 
         proxy = LiveProxy(ProxyStandIn("p/1", "z", True, verdict=refuses), program.addresses["xds"])
         proxy.start()
-        await proxy.until(proxy.proxy.complete)
+        await proxy.wait_until(proxy.proxy.is_complete)
         assert (await asyncio.to_thread(diff, "p/1"))[0] == 0
         before = proxy.proxy.responses
         discovery.change(entry("n9", 10_009, zone="y"))
-        await proxy.until(lambda: proxy.proxy.responses > before)
+        await proxy.wait_until(lambda: proxy.proxy.responses > before)
         await until(lambda: diff("p/1")[0] == 1)
         _, text = await asyncio.to_thread(diff, "p/1")
         assert "+127.0.0.1:10009 in use weight=100" in text and "EDS execute-nodes: differs" in text
