--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -34,7 +34,7 @@
     for seed in range(most):
         if first is not None and seed >= share:
             break
-        found = rules_broken(seed, breakage.profile, breakage.on()) & set(breakage.rules)
+        found = rules_broken(seed, breakage.profile, breakage.activated()) & set(breakage.rules)
         if found and not rules_broken(seed, breakage.profile) & found:
             first = seed if first is None else first
             told += seed < share
@@ -61,7 +61,7 @@
         _, first, told, rules = found[name]
         missed += first is None
         under = ", ".join(f"`{rule}`" for rule, _ in rules.most_common())
-        text = BREAKAGES[name].text
+        text = BREAKAGES[name].description
         print(f"| `{name}` | {text} | {under or '-'} | {'-' if first is None else first} | {told} |")
     return 1 if missed else 0
 
--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -174,7 +174,7 @@
 
 def _activate(mutation_name: str | None) -> AbstractContextManager[object] | None:
     """Return the context manager that applies a mutation during a run, or None without a name."""
-    return None if mutation_name is None else BREAKAGES[mutation_name].on()
+    return None if mutation_name is None else BREAKAGES[mutation_name].activated()
 
 
 def play_chunk(task: tuple[range, str, str | None]) -> list[Result]:
@@ -391,7 +391,7 @@
 def _print_mutations() -> int:
     """Print the name, description and violated invariants of every mutation."""
     for name, mutation in BREAKAGES.items():
-        print(f"{name}: {mutation.text} ({', '.join(mutation.rules)})")
+        print(f"{name}: {mutation.description} ({', '.join(mutation.rules)})")
     return STATUS_PASSED
 
 
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -73,17 +73,17 @@
     """A deliberate bug: its name, its description, and the rules of which at least one must report it."""
 
     name: str
-    text: str
+    description: str
     rules: tuple[str, ...]
-    put: Callable[[Patches], None]
+    apply_patches: Callable[[Patches], None]
     profile: str = "default"  # profile of the fault plans that expose the bug
 
     @contextmanager
-    def on(self) -> Iterator[None]:
+    def activated(self) -> Iterator[None]:
         """Patch the program within a block; sidecars must be started inside the block."""
         patches = Patches()
         try:
-            self.put(patches)
+            self.apply_patches(patches)
             yield
         finally:
             patches.undo()
@@ -93,19 +93,19 @@
 
 
 def breakage(
-    name: str, text: str, *rules: str, profile: str = "default"
+    name: str, description: str, *rules: str, profile: str = "default"
 ) -> Callable[[Callable[[Patches], None]], Callable[[Patches], None]]:
     """Return a decorator that registers a patch as a breakage with this name and description."""
     assert rules and not set(rules) - set(RULES), rules
 
-    def add(put: Callable[[Patches], None]) -> Callable[[Patches], None]:
-        BREAKAGES[name] = Breakage(name, text, rules, put, profile)
-        return put
+    def add(apply_patches: Callable[[Patches], None]) -> Callable[[Patches], None]:
+        BREAKAGES[name] = Breakage(name, description, rules, apply_patches, profile)
+        return apply_patches
 
     return add
 
 
-def now_and_then(request: str, one_in: int) -> bool:
+def is_affected(request: str, one_in: int) -> bool:
     """Return whether a request is one of the few, on average one in `one_in`, that a breakage affects."""
     return zlib.crc32(request.encode()) % one_in == 0
 
@@ -291,7 +291,7 @@
         if response is None or response.kind is not ResponseKind.SERVED:
             return response
         previous, self._before = getattr(self, "_before", response), response  # type: ignore[attr-defined]
-        return previous if now_and_then(request.request_id, 16) else response
+        return previous if is_affected(request.request_id, 16) else response
 
     old = patches.set(RequestLifecycle, "run", run)
 
--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -83,4 +83,4 @@
 
 def on(name: str) -> AbstractContextManager[None]:
     """The program with one of them; raises `KeyError` where there is none of that name."""
-    return ALL[name].on()
+    return ALL[name].activated()
--- a/tests/lab/test_breakages.py
+++ b/tests/lab/test_breakages.py
@@ -24,7 +24,7 @@
 def found(name: str, scenario: Scenario) -> bool:
     """Return whether a scenario breaks an expected rule with the breakage, and not without it."""
     breakage = BREAKAGES[name]
-    told = set(play(scenario, breakage.on()).rules) & set(breakage.rules)
+    told = set(play(scenario, breakage.activated()).rules) & set(breakage.rules)
     return bool(told) and not set(play(scenario).rules) & told
 
 
@@ -43,7 +43,7 @@
 
 def test_a_send_1_ms_past_the_drain_limit_is_found_to_the_nanosecond() -> None:
     scenario = read_scenario(FILES["drain-late"].read_bytes())
-    breaches = play(scenario, BREAKAGES["drain-late"].on()).breaches
+    breaches = play(scenario, BREAKAGES["drain-late"].activated()).breaches
     assert {breach.rule for breach in breaches} == {"drain"}
     late = int(breaches[0].what.split("first byte ")[1].split(" ns")[0])
     assert 0 < late <= 2_000_000  # the delay of 1 ms, and at most 1 ms for delivery of the list
@@ -59,18 +59,20 @@
         return put(self, owner, attribute, value)
 
     monkeypatch.setattr(Patches, "set", noted)
-    with BREAKAGES[name].on():
+    with BREAKAGES[name].activated():
         assert before and all(vars(owner)[key] is not old for (owner, key), old in before.items())
     assert all(vars(owner)[key] is old for (owner, key), old in before.items())
 
 
 @pytest.mark.parametrize("name", sorted(ALL))
 def test_patches_name_attributes_that_the_program_has(name: str) -> None:
-    with ALL[name].on():
+    with ALL[name].activated():
         pass  # a patch of a missing attribute raises KeyError
 
 
 def test_there_are_enough_and_each_names_its_rules() -> None:
     assert len(BREAKAGES) >= 14
     assert set(FILES) <= set(BREAKAGES)
-    assert all(each.rules and set(each.rules) <= set(RULES) and each.text for each in BREAKAGES.values())
+    assert all(
+        each.rules and set(each.rules) <= set(RULES) and each.description for each in BREAKAGES.values()
+    )
