--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -10,7 +10,7 @@
 import msgspec
 import yaml
 
-from brambleusher.lab.fleets.worlds import WorldError, WorldFile, world_of
+from brambleusher.lab.fleets.worlds import WorldError, WorldFile, parse_world
 from brambleusher.lab.stand_ins.settings import Settings
 from brambleusher.load import shape, synthetic
 from brambleusher.load.demand import DemandError, DemandFile
@@ -140,7 +140,7 @@
         plain = _plain_world(f"worlds.{world_name}", world, folder)
         for settings_name, over in file.settings.items():
             try:
-                figures = world_of(plain, over)
+                figures = parse_world(plain, over)
                 figures.world_spec()
             except WorldError as error:
                 at = f"worlds.{world_name}" + (f" with settings.{settings_name}" if over else "")
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -104,7 +104,7 @@
     def calm(self, now: int) -> None: ...
 
 
-def world_of(scenario: Scenario) -> World:
+def empty_world(scenario: Scenario) -> World:
     """Return an empty world with the scenario's network settings."""
     spec = scenario.world.network
     return World(
@@ -860,4 +860,4 @@
         for fault in scenario.faults:
             if fault.worlds != "both":
                 raise ValueError(f"faults: {fault.kind} is supported for real processes only")
-        super().__init__(scenario, world or world_of(scenario), monitor)
+        super().__init__(scenario, world or empty_world(scenario), monitor)
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -160,26 +160,26 @@
         return {name: "POST" if each.unsafe else "GET" for name, each in self.classes.items()}
 
 
-def world_of(raw: Any, over: Mapping[str, Any] | None = None) -> WorldFile:
+def parse_world(raw: Any, over: Mapping[str, Any] | None = None) -> WorldFile:
     """Build a world from plain values, with the values in `over` merged key by key; raises `WorldError`."""
     plain: Any = {} if raw is None else raw
     if not isinstance(plain, Mapping):
         raise WorldError("a world is a mapping")
     if over:
         # Fills in the defaults first, so that `over` can change a single key of a mapping left out in `raw`.
-        plain = laid_over({**msgspec.to_builtins(WorldFile()), **plain}, over)
+        plain = merge_mappings({**msgspec.to_builtins(WorldFile()), **plain}, over)
     try:
         return msgspec.convert(plain, WorldFile, strict=True)
     except msgspec.ValidationError as error:
         raise WorldError(str(error)) from None
 
 
-def laid_over(below: Any, above: Any) -> Any:
+def merge_mappings(below: Any, above: Any) -> Any:
     """Merge mappings key by key, with the value of `above` where both have one; replace all other values."""
     if isinstance(below, Mapping) and isinstance(above, Mapping):
         keys = {**below, **above}
         return {
-            key: laid_over(below[key], above[key]) if key in below and key in above else keys[key]
+            key: merge_mappings(below[key], above[key]) if key in below and key in above else keys[key]
             for key in keys
         }
     return above
@@ -196,7 +196,7 @@
     except (yaml.YAMLError, UnicodeDecodeError) as error:
         raise WorldError(f"{path}: not YAML: {' '.join(str(error).split())}") from None
     try:
-        world = world_of(raw)
+        world = parse_world(raw)
         world.world_spec()
         return world
     except WorldError as error:
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -18,9 +18,9 @@
 from brambleusher.lab.collection import uncollected
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_world
-from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, world_of
+from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, empty_world
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.fleets.worlds import laid_over
+from brambleusher.lab.fleets.worlds import merge_mappings
 from brambleusher.lab.processes.breakages import on
 from brambleusher.lab.processes.fleet import PairAudience, RealFleet, raise_limit
 from brambleusher.lab.processes.stage import RealStage
@@ -119,7 +119,7 @@
         length_s=max(drill.length_s, faults_s + drill.after_s),
     )  # fmt: skip
     if drill.world:
-        world = msgspec.convert(laid_over(msgspec.to_builtins(world), drill.world), WorldSpec)
+        world = msgspec.convert(merge_mappings(msgspec.to_builtins(world), drill.world), WorldSpec)
     check_faults(drill.faults, world)
     only = [fault.kind for fault in drill.faults if fault.worlds == "processes"]
     if only and drill.needs != "processes":
@@ -205,7 +205,7 @@
 
 def _virtual(drill: Drill, breakage: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
-    with world_of(scenario) as world, on(breakage) if breakage else nullcontext():
+    with empty_world(scenario) as world, on(breakage) if breakage else nullcontext():
         rules = Rules.of(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -20,7 +20,7 @@
 
 from brambleusher.lab.checker import Breach, Checker, Rules
 from brambleusher.lab.checker.sums import FleetLimits, NodeLimits, Sums
-from brambleusher.lab.fleets.fleet import Fleet, node_machine, world_of
+from brambleusher.lab.fleets.fleet import Fleet, empty_world, node_machine
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import Machine, ProcessLog, Tap, World
@@ -236,7 +236,7 @@
 
     `stop_at_breach` ends the run at the first breach: enough to know that there is one.
     """
-    with world_of(scenario) as world, breakage or nullcontext():
+    with empty_world(scenario) as world, breakage or nullcontext():
         world.settings = replace(world.settings, output_bytes=OUTPUT_BYTES)
         rules = Rules.of(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -23,7 +23,7 @@
     SidecarSpec,
     WorldSpec,
 )
-from brambleusher.lab.fleets.fleet import Fleet, world_of
+from brambleusher.lab.fleets.fleet import Fleet, empty_world
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.stand_ins.settings import ClientSettings, NodeSettings, PlannedRequest
 from brambleusher.loadbalancing import Balancer
@@ -273,7 +273,7 @@
 ) -> Books:
     """A day of a seed, played to its end."""
     scenario = scenario_of(day, seed)
-    with world_of(scenario) as world:
+    with empty_world(scenario) as world:
         fleet = Fleet(scenario, world)
         fleet.new_balancer = make
         watch = Watch(fleet)
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -23,7 +23,7 @@
 from brambleusher.lab.experiments.report import page
 from brambleusher.lab.experiments.run import run
 from brambleusher.lab.experiments.store import CellResult, Store, StoreError
-from brambleusher.lab.fleets.worlds import WorldError, WorldFile, world_of
+from brambleusher.lab.fleets.worlds import WorldError, WorldFile, parse_world
 from brambleusher.load import demand, synthetic
 
 WAIT = 60.0
@@ -42,7 +42,7 @@
 
 
 def experiment(folder: Path, text: str = EXPERIMENT) -> Path:
-    node = world_of({"kinds": {"k": {"count": 3}}}).world_spec().nodes[0].id
+    node = parse_world({"kinds": {"k": {"count": 3}}}).world_spec().nodes[0].id
     recipe = synthetic.Recipe(seconds=3, rate=10, burst=None)
     demand.write(folder / "d", synthetic.requests(recipe, 3))
     path = folder / "e.yaml"
@@ -76,13 +76,13 @@
 )
 def test_a_world_that_can_not_be_used_is_refused_by_name(raw: object, said: str) -> None:
     with pytest.raises(WorldError, match=said):
-        world_of(raw).world_spec()
+        parse_world(raw).world_spec()
 
 
 def test_settings_are_laid_over_a_world_key_by_key() -> None:
-    over = world_of({"rules": {"tick_s": 0.01}}, {"rules": {"max_attempts": 1}, "sidecars": 5})
+    over = parse_world({"rules": {"tick_s": 0.01}}, {"rules": {"max_attempts": 1}, "sidecars": 5})
     assert (over.rules.tick_s, over.rules.max_attempts, over.sidecars) == (0.01, 1, 5)
-    assert len(world_of({}, {"kinds": {"std-2core": {"speed": 2.0}}}).world_spec().nodes) == 14
+    assert len(parse_world({}, {"kinds": {"std-2core": {"speed": 2.0}}}).world_spec().nodes) == 14
 
 
 @pytest.mark.parametrize(
--- a/tests/recorded/sidecar_day.py
+++ b/tests/recorded/sidecar_day.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from brambleusher.lab.fleets.figures import ADMIN_PORT
-from brambleusher.lab.fleets.fleet import Fleet, world_of
+from brambleusher.lab.fleets.fleet import Fleet, empty_world
 from brambleusher.lab.fleets.scenario import draw_scenario
 from brambleusher.runtime.scheduler import Scheduler
 from brambleusher.runtime.streams import Stream
@@ -67,7 +67,7 @@
     captured, log = FieldCapture("connections_accepted"), logging.getLogger("brambleusher")
     log.addHandler(captured)
     log.setLevel(logging.INFO)
-    with world_of(scenario) as world:
+    with empty_world(scenario) as world:
         fleet = Fleet(scenario, world)
         caller = world.machine("caller", "10.9.0.1")
         sidecar = fleet.sidecars[0]
