--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -569,7 +569,7 @@
 
     def begin() -> None:
         if not stopped:
-            stops.extend(operators.say(*request) for request in requests)
+            stops.extend(operators.repeat_action(*request) for request in requests)
 
     def stop() -> None:
         stopped.append(True)
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -15,7 +15,7 @@
 from brambleusher.lab.stand_ins.bad_client import BAD_KINDS, BadKind
 from brambleusher.lab.stand_ins.discovery import GarbageHow
 from brambleusher.lab.stand_ins.node import MalformedKind, ReportHow, ResetWhere
-from brambleusher.lab.stand_ins.settings import Part, Positive, Seconds
+from brambleusher.lab.stand_ins.settings import Positive, Seconds, UnitFraction
 
 FIRST_AT = 0.3  # earliest start of a fault, in seconds: before that, sidecars have only just become ready
 MIN_KINDS = 3
@@ -203,7 +203,7 @@
 
     broad: ClassVar[float] = 0.3
     where: ResetWhere
-    part: Part
+    part: UnitFraction
     runs: bool = True
 
     @classmethod
@@ -218,7 +218,7 @@
 
     broad: ClassVar[float] = 0.3
     how: MalformedKind
-    part: Part
+    part: UnitFraction
 
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
@@ -230,7 +230,7 @@
     """The node rejects a fraction of its requests without starting them."""
 
     broad: ClassVar[float] = 0.3
-    part: Part
+    part: UnitFraction
     status: Literal[503, 504] = 503
 
     @classmethod
@@ -268,7 +268,7 @@
 
     broad: ClassVar[float] = 0.5
     within_s: Seconds
-    part: Part
+    part: UnitFraction
     unread: bool = False
 
     @classmethod
@@ -352,7 +352,7 @@
     """A fraction of the sidecars receives each change of the list `by_s` later than the others."""
 
     targets: ClassVar[Target] = "none"
-    part: Part = 0.5
+    part: UnitFraction = 0.5
     by_s: Seconds = 2.0
 
 
@@ -559,7 +559,7 @@
     """The network resets a fraction of the connections to a node every `every_s` seconds."""
 
     every_s: Positive
-    part: Part
+    part: UnitFraction
 
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
@@ -570,7 +570,7 @@
 class ConnectionsStalled(Fault, frozen=True, tag="connections-silent"):
     """A fraction of the connections open to a node stops carrying data without being closed."""
 
-    part: Part
+    part: UnitFraction
 
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
@@ -624,7 +624,7 @@
     targets: ClassVar[Target] = "zone"
     every: Annotated[int, msgspec.Meta(ge=1)]
     factor: Annotated[float, msgspec.Meta(ge=1)]
-    resets: Part
+    resets: UnitFraction
 
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -18,11 +18,11 @@
     Count,
     DiscoverySettings,
     NodeSettings,
-    Part,
     PlannedRequest,
     Positive,
     Seconds,
     Settings,
+    UnitFraction,
 )
 
 Range = tuple[float, float]  # both bounds are inclusive
@@ -37,13 +37,13 @@
     """A request class: its share of the requests, its work, latency target, deadline and value."""
 
     name: str
-    share: Part
+    share: UnitFraction
     work_s: Positive  # mean work, in seconds on a standard core
     spread: Seconds  # standard deviation of the logarithm of the work
     aim_s: Positive
     deadline_s: Positive
     worth: Positive = 1.0
-    late_worth: Part = 0.3
+    late_worth: UnitFraction = 0.3
     unsafe: bool = False
 
     def draw_work(self, rng: random.Random) -> float:
@@ -59,7 +59,7 @@
     """A tenant, its share of the requests and its use of its quota."""
 
     name: str
-    share: Part
+    share: UnitFraction
     usage: Positive  # fraction of the tenant's quota that its requests use
 
 
@@ -92,11 +92,11 @@
     same_zone_s: Seconds = 0.0002
     cross_zone_s: Seconds = 0.0006
     client_s: Seconds = 0.00005
-    jitter: Part = 0.2  # largest added latency, as a fraction of the latency
-    split: Part = 0.0  # fraction of sends that arrive in two pieces, split at a random byte
-    short_send: Part = 0.0  # fraction of sends that accept only some of the bytes
-    short_receive: Part = 0.0  # fraction of receives that return only some of the available bytes
-    aborted_accepts: Part = 0.0  # fraction of connections reset before they are accepted, as ECONNABORTED
+    jitter: UnitFraction = 0.2  # largest added latency, as a fraction of the latency
+    split: UnitFraction = 0.0  # fraction of sends that arrive in two pieces, split at a random byte
+    short_send: UnitFraction = 0.0  # fraction of sends that accept only some of the bytes
+    short_receive: UnitFraction = 0.0  # fraction of receives that return only some of the available bytes
+    aborted_accepts: UnitFraction = 0.0  # fraction of connections reset before accept, as ECONNABORTED
     buffer_bytes: Annotated[int, msgspec.Meta(ge=2048)] = 65536
 
 
@@ -114,7 +114,7 @@
     max_retry_after_s: Positive = 2.0
     connect_timeout_s: Positive = 0.25
     tick_s: Positive = 0.005
-    over_share_worth: Part = 0.05
+    over_share_worth: UnitFraction = 0.05
     # With both fees at 0, a sidecar uses more nodes.
     connection_fee: Seconds = 0.075  # cost of each open connection
     handshake_fee: Seconds = 0.075  # cost of each newly opened connection
@@ -139,7 +139,7 @@
     tenants: tuple[TenantSpec, ...] = ()
     requests_per_s: Positive = 14.0
     opens_s: Seconds = 0.0  # time at which a resale opens
-    crowd: Part = 0.0  # fraction of all requests that arrive within 0.25 seconds after a resale opens
+    crowd: UnitFraction = 0.0  # fraction of all requests that arrive within 0.25 seconds after a resale opens
     discovery: DiscoverySettings = DiscoverySettings()
     notice_s: Seconds = 0.5  # time until discovery learns of a process that starts or drains
     silent_notice_s: Seconds = 1.5  # time until discovery learns of a process that crashed
@@ -337,9 +337,9 @@
         """Draw an integer from a range with inclusive bounds."""
         return self.rng.randint(int(range_[0]), int(range_[1]))
 
-    def chance(self, part: float) -> bool:
-        """Return True with probability `part`."""
-        return self.rng.random() < part
+    def chance(self, probability: float) -> bool:
+        """Return True with the given probability."""
+        return self.rng.random() < probability
 
 
 def _round4(value: float) -> float:
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -769,7 +769,7 @@
     def _start_operators(self, scheduler: Scheduler) -> None:
         self.operators = Operators(scheduler)
         for sidecar in self.sidecars:
-            self.operators.front(sidecar.address)
+            self.operators.poll_ready(sidecar.address)
 
     def _open_ids(self, number: int) -> list[str]:
         return self.clients[number].open_ids()
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -25,10 +25,10 @@
     Count,
     DiscoverySettings,
     NodeSettings,
-    Part,
     Positive,
     Seconds,
     Settings,
+    UnitFraction,
 )
 from brambleusher.load.request import TOKEN
 
@@ -50,13 +50,13 @@
 class Class(Settings, frozen=True):
     """A request class; `share` and `work_s` apply only where the requests are drawn at random."""
 
-    share: Part = 0.3
+    share: UnitFraction = 0.3
     work_s: Positive = 0.05
     spread: Seconds = 0.5
     aim_s: Positive = 0.5
     deadline_s: Positive = 1.5
     worth: Positive = 1.0
-    late_worth: Part = 0.3
+    late_worth: UnitFraction = 0.3
     unsafe: bool = False
 
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -25,7 +25,7 @@
 from brambleusher.lab.processes.fleet import PairAudience, RealFleet, raise_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import Watch
-from brambleusher.lab.stand_ins.settings import Part, PlannedRequest, Positive, Seconds, Settings
+from brambleusher.lab.stand_ins.settings import PlannedRequest, Positive, Seconds, Settings, UnitFraction
 from brambleusher.lab.virtual.explore import Raised, fleet_limits, listening
 from brambleusher.lab.virtual.world import Tap
 
@@ -49,8 +49,8 @@
 class Expected(Settings, frozen=True):
     """What a drill must come to beside no rule broken."""
 
-    served: Part = 0.0  # of all that was asked, at least
-    refused: Part = 1.0  # of all tries, at most
+    served: UnitFraction = 0.0  # of all that was asked, at least
+    refused: UnitFraction = 1.0  # of all tries, at most
     well_s: Seconds = 1e9  # after the last fault, by when every second is served well
     limits: bool = True  # no sum over the fleet passes its limit, nor does what a process takes
 
--- a/brambleusher/lab/processes/up.py
+++ b/brambleusher/lab/processes/up.py
@@ -139,6 +139,6 @@
         rate = (node.answers - before.get(figures.id, node.answers)) / BEAT_SECONDS
         nodes.add_row(
             figures.id, figures.zone, figures.kind, state, f"{node.busy}", f"{len(node.connections)}",
-            f"{node.answers:,}", f"{rate:,.0f}", f"{node.turned_away:,}",
+            f"{node.answers:,}", f"{rate:,.0f}", f"{node.rejected_count:,}",
         )  # fmt: skip
     return Group(sidecars, nodes)
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -35,7 +35,7 @@
     opened_ns: int = 0  # 0 if the connection was never established
     port: int = 0
     sent_ns: int = 0  # time at which the last byte was written
-    told_ns: int = 0  # time of the first byte of the response
+    first_byte_ns: int = 0  # time of the first byte of the response
     ended_ns: int = 0
     end: str = ""  # closed or reset (by the sidecar), left, stayed (until the time limit) or unreachable
     got: bytes = b""  # first bytes of the response
@@ -149,7 +149,7 @@
 
     def _record(self, connection: BadConnection, data: bytes) -> None:
         if not connection.got_bytes:
-            connection.told_ns = self.scheduler.system.monotonic_ns()
+            connection.first_byte_ns = self.scheduler.system.monotonic_ns()
         connection.got_bytes += len(data)
         connection.got = (
             (connection.got + data)[:RECORDED_BYTES]
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -71,7 +71,7 @@
 class DelayedUpdates:
     """A fraction of the subscribers, selected by a hash of the IP address, receives changes `by_s` later."""
 
-    part: float
+    fraction: float
     by_s: float
 
 
@@ -126,7 +126,7 @@
         self.active_faults = ActiveFaults()
         self._watches: dict[int, _Watch] = {}
         self._free_at = 0.0  # time at which all accepted requests will have been answered
-        self.calls = self.failed = 0
+        self.request_count = self.failed_count = 0
         self._seen = seen
 
     # --- the list -------------------------------------------------------------------------------
@@ -155,7 +155,7 @@
     def _extra_delay(self, watch: _Watch) -> float:
         fraction = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
         return max(
-            (each.by_s for each in self.active_faults.all(DelayedUpdates) if fraction < each.part),
+            (each.by_s for each in self.active_faults.all(DelayedUpdates) if fraction < each.fraction),
             default=0.0,
         )
 
@@ -233,7 +233,7 @@
     def _wait_for_turn(self, connection: Connection) -> bool:
         """Wait until the request is served in turn; return False if it fails."""
         settings, scheduler = self.settings, self.scheduler
-        self.calls += 1
+        self.request_count += 1
         down = self.active_faults.last(Down)
         now = scheduler.now()
         factor = max((each.factor for each in self.active_faults.all(SlowRequests)), default=1.0)
@@ -250,7 +250,7 @@
             scheduler.park(event=connection.event)
         if not fails:
             return True
-        self.failed += 1
+        self.failed_count += 1
         if fails == "503":
             self._write(connection, write_response(503, [], b"not now\n", keep_alive=False))
         else:
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -59,7 +59,7 @@
 class Neighbour:
     """Another program on the machine periodically uses a share of its CPU."""
 
-    share: float
+    cpu_share: float
     on_s: float
     off_s: float
 
@@ -69,7 +69,7 @@
     """A fraction of the responses is malformed or followed by unexpected bytes."""
 
     how: MalformedKind
-    part: float = 1.0
+    fraction: float = 1.0
 
 
 @dataclass(eq=False, slots=True)
@@ -77,7 +77,7 @@
     """A fraction of the requests is reset."""
 
     where: ResetWhere
-    part: float = 1.0
+    fraction: float = 1.0
     runs: bool = True  # whether a request received whole is executed
 
 
@@ -86,7 +86,7 @@
     """Idle connections are closed early: after a random time, or with the next request unread."""
 
     within_s: float
-    part: float = 1.0
+    fraction: float = 1.0
     unread: bool = False
 
 
@@ -108,7 +108,7 @@
 class RejectsRequests:
     """A fraction of the requests is rejected, as with a full queue."""
 
-    part: float = 1.0
+    fraction: float = 1.0
     status: Literal[503, 504] = 503
 
 
@@ -185,7 +185,7 @@
         self.active_faults = ActiveFaults() if active_faults is None else active_faults
         self.draining = False
         self.on_fall: Callable[[], object] | None = None  # called when overload during warm-up stops the node
-        self.answers = self.turned_away = self._request_count = 0
+        self.answers = self.rejected_count = self._request_count = 0
         self._timer: Timer | None = None
         self._timer_at = math.inf
         # For each neighbour program: its timer, whether it is busy, and the end of the current period.
@@ -224,7 +224,7 @@
                 on = neighbour not in self._neighbour_states or not self._neighbour_states[neighbour][1]
                 until = now + max(0.001, neighbour.on_s if on else neighbour.off_s)
                 self._neighbour_states[neighbour] = self.scheduler.call_at(until, self.changed), on, until
-        return max((each.share for each in active if self._neighbour_states[each][1]), default=0.0)
+        return max((each.cpu_share for each in active if self._neighbour_states[each][1]), default=0.0)
 
     @property
     def capacity(self) -> float:
@@ -259,7 +259,7 @@
             while True:
                 idle = settings.idle_s
                 crossing = self.active_faults.last(EarlyClose)
-                crosses = crossing is not None and not first and rng.random() < crossing.part
+                crosses = crossing is not None and not first and rng.random() < crossing.fraction
                 if crossing is not None and crosses and not crossing.unread:
                     idle = min(idle, crossing.within_s * rng.random())
                 unread = crossing is not None and crosses and crossing.unread
@@ -279,7 +279,7 @@
     def _draw_reset(self, where: ResetWhere) -> Resets | None:
         """Decide whether the request is reset at a given point, and return the active fault in that case."""
         for resets in self.active_faults.all(Resets):
-            if resets.where == where and self.rng.random() < resets.part:
+            if resets.where == where and self.rng.random() < resets.fraction:
                 return resets
         return None
 
@@ -370,7 +370,7 @@
         if first and settings.handshake_work_s:
             self.machine.add_background_work(settings.handshake_work_s, now)
         rejections = [
-            each for each in self.active_faults.all(RejectsRequests) if self.rng.random() < each.part
+            each for each in self.active_faults.all(RejectsRequests) if self.rng.random() < each.fraction
         ]
         if rejections:
             self._turn_away(work, rejections[-1].status)
@@ -411,7 +411,7 @@
         return min(self.scheduler.system.monotonic_ns(), round(at * 1e9))
 
     def _turn_away(self, work: _Work, status: int) -> None:
-        self.turned_away += 1
+        self.rejected_count += 1
         self.machine.record_rejected(work.execution.work_s, self.scheduler.now())
         work.answer = status, [("Not-Started", "1")], b"not started\n"
         self._finish(work, "turned away")
@@ -491,7 +491,7 @@
             self.reset(connection)
             return False
         spoilt = self.active_faults.last(MalformedResponses)
-        if spoilt is not None and status == 200 and self.rng.random() < spoilt.part:
+        if spoilt is not None and status == 200 and self.rng.random() < spoilt.fraction:
             return self._spoil(connection, spoilt.how, headers, body)
         self._send(connection, write_response(status, headers, body))
         return work.request.keep_alive
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -36,7 +36,7 @@
         self.records: list[AdminCall] = []
         self._tasks: list[Task] = []
 
-    def say(self, admin: Address, out: str, back: str) -> Callable[[], None]:
+    def repeat_action(self, admin: Address, out: str, back: str) -> Callable[[], None]:
         """Request `out` repeatedly, as operators do because a restart makes a sidecar lose the action.
 
         The returned function ends the repetition and requests `back` until a response reports success.
@@ -45,22 +45,22 @@
 
         def run() -> None:
             while not stopped:
-                self.call(admin, "POST", out)
+                self.send_request(admin, "POST", out)
                 self.scheduler.sleep(REPEAT_SECONDS)
             for _ in range(MAX_UNDO_ATTEMPTS):
-                if 200 <= self.call(admin, "POST", back).status < 300:
+                if 200 <= self.send_request(admin, "POST", back).status < 300:
                     return
                 self.scheduler.sleep(REPEAT_SECONDS)
 
         self._tasks.append(self.scheduler.spawn(run, name=f"operators say {out}"))
         return lambda: stopped.append(True)
 
-    def front(self, clients: Address) -> None:
+    def poll_ready(self, clients: Address) -> None:
         """Poll `/ready` at the address for clients, until `end` is called."""
 
         def run() -> None:
             while True:
-                self.call(clients, "GET", "/ready")
+                self.send_request(clients, "GET", "/ready")
                 self.scheduler.sleep(POLL_SECONDS)
 
         self._tasks.append(self.scheduler.spawn(run, name="front"))
@@ -70,7 +70,7 @@
         for task in self._tasks:
             task.cancel()
 
-    def call(self, address: Address, method: str, target: str) -> AdminCall:
+    def send_request(self, address: Address, method: str, target: str) -> AdminCall:
         """Send one request on a new connection."""
         scheduler = self.scheduler
         called = AdminCall(address, target, scheduler.system.monotonic_ns())
--- a/brambleusher/lab/stand_ins/settings.py
+++ b/brambleusher/lab/stand_ins/settings.py
@@ -9,7 +9,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Seconds = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # finite, as sidecars' settings require
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
-Part = Annotated[float, msgspec.Meta(ge=0, le=1)]
+UnitFraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -41,7 +41,7 @@
     report_period_s: Positive = 1.0
     report_delay_s: Seconds = 0.25
     report_noise: Seconds = 0.03
-    error_rate: Part = 0.0  # fraction of requests answered with 500 after their work is done
+    error_rate: UnitFraction = 0.0  # fraction of requests answered with 500 after their work is done
     cancel: Literal["none", "queued", "all"] = "queued"  # which work is canceled when its connection closes
     drops_overdue: bool = False  # whether requests past their deadline are rejected before they start
     drain_refuses: bool = False  # whether a draining node rejects new requests
@@ -68,12 +68,12 @@
     try_part: Annotated[float, msgspec.Meta(gt=0, le=1)] = 1.0  # fraction of the time left for one attempt
     backoff: Literal["none", "fixed", "exponential"] = "fixed"
     backoff_s: Seconds = 0.1
-    honour: Part = 0.7  # probability that a client obeys a Retry-After header
+    honour: UnitFraction = 0.7  # probability that a client obeys a Retry-After header
     honour_most_s: Seconds = 2.0
     marks_retry: bool = False
-    impatient: Part = 0.0  # fraction of attempts that the client abandons before the deadline
+    impatient: UnitFraction = 0.0  # fraction of attempts that the client abandons before the deadline
     idle_most: Count = 64  # maximum number of idle connections
-    asks_once: Part = 0.0  # fraction of connections used for one request and then held open
+    asks_once: UnitFraction = 0.0  # fraction of connections used for one request and then held open
     most_open: Count = 0  # maximum number of open connections, beyond which requests fail; 0 for no limit
     hints: Literal["none", "rough"] = "rough"
 
