--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -85,9 +85,8 @@
         self.sent: dict[str, int] = {}  # newest sent version by instance, kept over the instance's restarts
         self.current = 0
         self.superseded: dict[int, int] = {}  # time at which each version stopped being the newest
-        self.older_list_sent = (
-            False  # discovery sent an older list, which instances can't recognize as outdated
-        )
+        # Whether discovery has sent an older list, which instances can't recognize as outdated.
+        self.older_list_sent = False
         self.check_count = 0
 
     def change(self, version: int, now: int) -> None:
@@ -129,9 +128,9 @@
     disk: _Disk = field(default_factory=_Disk)
     core: Core | None = None
     incarnation: int = 0
-    watching: int = 0  # number of the open watch; 0 without one
-    cut: bool = False  # partitioned from discovery
-    apart: bool = False  # partitioned from the other instance
+    watching: int = 0  # number of the instance's open watch; 0 without an open watch
+    cut: bool = False  # whether the instance is partitioned from discovery
+    apart: bool = False  # whether the instance is partitioned from the other instance
     last_contact: int = 0
     writing: bool = False
 
@@ -510,7 +509,7 @@
             self._stop_discovery(lasting, None)
         elif kind == "older" and len(self.lists) > 5:
             self._stop_discovery(lasting, len(self.lists) - rng.randrange(1, 5))
-            if rng.random() < 0.5:  # as in a power failure that affects both discovery and an instance
+            if rng.random() < 0.5:  # a power failure may affect discovery and an instance together
                 self._kill(instance)
         self.at(rng.randrange(50, 1500) * MS, self._inject_fault)
 
--- a/brambleusher/lab/control/xds_live.py
+++ b/brambleusher/lab/control/xds_live.py
@@ -22,7 +22,7 @@
 
 from brambleusher.lab.control.xds import STREAM_METHODS, ProxyStandIn
 
-WAIT = 30.0  # timeout in seconds for expected events, far above their usual duration
+WAIT = 30.0  # timeout for expected events in seconds, far above their usual duration
 METHODS = ("look", "move")
 
 
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -241,7 +241,9 @@
 def _reset_as_connect(patches: Patches) -> None:
     def run(self: UpstreamExchange) -> AttemptResult | None:
         result: AttemptResult | None = old(self)
-        if result is not None and result.status is AttemptStatus.RESET:  # None: already reported
+        if (
+            result is not None and result.status is AttemptStatus.RESET
+        ):  # None means that the result was already reported
             return replace(result, status=AttemptStatus.CONNECT_FAILED)
         return result
 
@@ -354,7 +356,7 @@
 def _silent_fault(patches: Patches) -> None:
     def encode_final_response(response: FinalResponse, *args: Any) -> Any:
         if response.kind is ResponseKind.FAILED:
-            raise TaskCancelledError  # not caught by handlers of ordinary exceptions
+            raise TaskCancelledError  # handlers of ordinary exceptions don't catch this one
         return old(response, *args)
 
     old = patches.set(client_request_handler, "encode_final_response", encode_final_response)
--- a/brambleusher/lab/faults/kinds.py
+++ b/brambleusher/lab/faults/kinds.py
@@ -334,7 +334,9 @@
 
     targets: ClassVar[Target] = "none"
     version: Annotated[int, msgspec.Meta(ge=1)]
-    keeps_s: Seconds = 1.5  # the old service accepts no connections and closes the open ones after this time
+    keeps_s: Seconds = (
+        1.5  # seconds until the old service, which accepts no connections, closes the open ones
+    )
 
     @classmethod
     def parameters(cls, draw: Sampler, world: WorldSpec) -> dict[str, Any]:
@@ -537,7 +539,7 @@
 class LinkJitter(Fault, frozen=True, tag="link-jitter"):
     """The latency between a node and the sidecars rises by an amount that keeps changing."""
 
-    by_s: Seconds = 0.05  # largest added latency
+    by_s: Seconds = 0.05  # largest added latency, in seconds
 
 
 class LinkThrottled(Fault, frozen=True, tag="link-throttled"):
@@ -758,7 +760,7 @@
         raise ValueError(f"unknown profile {profile!r}; known profiles: {', '.join(PROFILES)}")
     draw = Sampler(seed, f"faults {profile}")
     names, kinds = list(PROFILES[profile]), []
-    if world.crowd and "fleet-renewed" in names and draw.chance(0.3):  # worst case: cold nodes
+    if world.crowd and "fleet-renewed" in names and draw.chance(0.3):  # the crowd then meets cold nodes
         names, kinds = [each for each in names if each != "fleet-renewed"], ["fleet-renewed"]
     for _ in range(draw.rng.choices((3, 4, 5, 6), (4, 3, 2, 1))[0]):
         name = draw.rng.choice(names)
@@ -767,7 +769,7 @@
         if not names:
             break
     faults = [_draw_fault(KINDS[name], draw, world) for name in kinds]
-    if draw.chance(0.3):  # one kind occurs twice
+    if draw.chance(0.3):  # one kind of fault occurs twice in the plan
         faults.append(_draw_fault(KINDS[draw.rng.choice(kinds)], draw, world))
     return tuple(sorted(faults, key=lambda fault: (fault.at_s, fault.kind, fault.target)))
 
--- a/brambleusher/lab/fleets/figures.py
+++ b/brambleusher/lab/fleets/figures.py
@@ -72,7 +72,7 @@
     cell: Count = 0
     weight: Seconds = 1.0
     settings: NodeSettings = NodeSettings()
-    spare: bool = False  # not running at the start; a fault may start the node
+    spare: bool = False  # whether the node is stopped at the start; a fault may start it
 
 
 class SidecarSpec(Settings, frozen=True):
@@ -123,26 +123,26 @@
 class ProcessorSpec(Settings, frozen=True):
     """Mean delays due to a sidecar's limited share of a CPU core; 0 for a share that causes no delay."""
 
-    start_s: Seconds = 0.0  # time from the start of the process to the program's first step
-    round_s: Seconds = 0.0  # time from one poll to the next
+    start_s: Seconds = 0.0  # seconds from the start of the process to the program's first step
+    round_s: Seconds = 0.0  # seconds from one poll of the scheduler to the next
 
 
 class WorldSpec(Settings, frozen=True):
     """A whole world, with all values drawn."""
 
-    length_s: Positive  # time of the last request
-    faults_s: Positive  # time by which all faults have ended
+    length_s: Positive  # latest time of a request, in seconds
+    faults_s: Positive  # time by which all faults have ended, in seconds
     zones: tuple[str, ...]
     sidecars: tuple[SidecarSpec, ...]
     nodes: tuple[NodeSpec, ...]
     classes: tuple[ClassSpec, ...]
     tenants: tuple[TenantSpec, ...] = ()
     requests_per_s: Positive = 14.0
-    opens_s: Seconds = 0.0  # time at which a resale opens
+    opens_s: Seconds = 0.0  # time at which a resale opens, in seconds
     crowd: UnitFraction = 0.0  # fraction of all requests that arrive within 0.25 seconds after a resale opens
     discovery: DiscoverySettings = DiscoverySettings()
-    notice_s: Seconds = 0.5  # time until discovery learns of a process that starts or drains
-    silent_notice_s: Seconds = 1.5  # time until discovery learns of a process that crashed
+    notice_s: Seconds = 0.5  # seconds until discovery learns of a process that starts or drains
+    silent_notice_s: Seconds = 1.5  # seconds until discovery learns of a process that crashed
     network: NetworkSpec = NetworkSpec()
     clients: ClientSettings = ClientSettings()
     rules: RuleSpec = RuleSpec()
@@ -248,7 +248,7 @@
     """Ranges from which worlds are drawn."""
 
     faults_s: Range = (2.6, 3.4)
-    after_s: Range = (4.8, 5.4)  # time without faults, for the recovery and for the check of the recovery
+    after_s: Range = (4.8, 5.4)  # seconds without faults, for recovery and the check of the recovery
     zones: tuple[str, ...] = ("atl-north", "atl-south", "macon", "augusta")
     sidecars: tuple[int, int] = (1, 3)
     nodes: tuple[int, int] = (3, 5)
@@ -301,7 +301,7 @@
     report_period_s: Range = (0.3, 0.8)
     report_delay_s: Range = (0.06, 0.18)
     report_noise: Range = (0.001, 0.07)
-    fall_s: Range = (1.0, 2.0)  # shortened like the latency targets and warm-up times
+    fall_s: Range = (1.0, 2.0)  # in seconds, shortened like latency targets and warm-up times
     connections: Range = (24.0, 900.0)
     full_tax: Range = (0.16, 0.38)
     handshake_s: Range = (0.0004, 0.0024)
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -52,9 +52,8 @@
 LIVE_TIMERS = 24  # maximum number of timers of an idle sidecar, which usually has fewer than ten
 QUIESCE_POLL_NS = 50_000_000
 CALM_POLL_S = 0.25
-MAX_CALM_LOAD = (
-    0.6  # largest load after the faults, as a fraction of the capacity, for which recovery is checked
-)
+# Largest load after the faults for which recovery is checked, as a fraction of the capacity.
+MAX_CALM_LOAD = 0.6
 CLIENTS, BAD_CLIENTS, OPERATORS = "clients", "bad clients", "operators"  # names of machines
 CAPTURE = {"ring_kb": 768}
 
--- a/brambleusher/lab/stand_ins/bad_client.py
+++ b/brambleusher/lab/stand_ins/bad_client.py
@@ -1,4 +1,4 @@
-"""Misbehaving clients: each kind is a method that misuses one connection."""
+"""Misbehaving clients, with a method for each kind of misuse of a connection."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     """A misbehaving connection, and the response to it.  Times are in monotonic nanoseconds."""
 
     kind: BadKind
-    opened_ns: int = 0  # 0 if the connection was never established
+    opened_ns: int = 0  # time of the connect; 0 if the connection was never established
     port: int = 0
     sent_ns: int = 0  # time at which the last byte was written
     first_byte_ns: int = 0  # time of the first byte of the response
     ended_ns: int = 0
-    end: str = ""  # closed or reset (by the sidecar), left, stayed (until the time limit) or unreachable
+    end: str = ""  # outcome: closed or reset by the sidecar, left, stayed to the time limit, or unreachable
     got: bytes = b""  # first bytes of the response
     got_bytes: int = 0
     ids: list[str] = field(default_factory=list)  # ids of the valid requests, which may be served
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -28,12 +28,12 @@
     ask: PlannedRequest
     id: str
     number: int  # index of the attempt among those of the request, from 0
-    wait_s: float  # time limit sent to the sidecar
+    wait_s: float  # time limit sent to the sidecar, in seconds
     begun_ns: int
     port: int = 0  # client's port of the connection on which the request was last sent
     sent_ns: int = 0  # time at which the last byte was written; 0 if not all bytes were written
-    resent: bool = False  # whether sent again on a new connection, after a close that crossed the request
-    ended_ns: int = 0  # time of the last byte of the response or of the client's giving up; 0 while open
+    resent: bool = False  # whether the request was sent again after a close that crossed it
+    ended_ns: int = 0  # time of the response's last byte or of the client's giving up; 0 while open
     end: str = ""  # outcome: answered, late, left, unreachable, broken, unreadable or stopped
     status: int = 0
     body: bytes = b""
--- a/brambleusher/lab/stand_ins/machine.py
+++ b/brambleusher/lab/stand_ins/machine.py
@@ -23,7 +23,7 @@
     """A request as processed by the machine; `begun` and `done` are called when its work starts and ends."""
 
     work: float  # work in seconds on a standard core
-    begun: Callable[[float], bool]  # returns False to discard the job at its start
+    begun: Callable[[float], bool]  # called at the start of the work; returns False to discard the job
     done: Callable[[float], None]
     end: float = math.nan  # value of the machine's service counter at which a running job is done
 
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -130,8 +130,8 @@
     capacity: float  # machine's capacity on arrival, in seconds of work on a standard core per second
     cold: bool
     came_ns: int
-    began_ns: int = 0  # 0 if the request never ran
-    ended_ns: int = 0  # 0 while the request is open, or if the process exited before its end
+    began_ns: int = 0  # start of the work; 0 if the request never ran
+    ended_ns: int = 0  # end of the request; 0 while open, or if the process exited first
     # Outcome: "made", "error", "turned away", "dropped" (before it ran), "stopped" (while it ran) or "lost".
     end: str = ""
     number: int = 0  # index of the response among all responses of the process, from 1
@@ -579,7 +579,7 @@
         return (head + f"Content-Length: {size}\r\n\r\n").encode() + body[: size // 2]
     if how == "strange-status":
         return b"HTTP/1.1 2000 FINE\r\n" + f"Content-Length: {size}\r\n\r\n".encode() + body
-    return (head + "\r\n").encode() + body  # unframed
+    return (head + "\r\n").encode() + body  # the body has no framing
 
 
 def _wrong_report(how: ReportHow, fields: tuple[str, ...]) -> list[HeaderField]:
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -25,7 +25,7 @@
     address: Address
     target: str
     sent_ns: int
-    status: int = 0  # 0 without a readable response
+    status: int = 0  # status code; 0 without a readable response
 
 
 class Operators:
--- a/brambleusher/lab/stand_ins/settings.py
+++ b/brambleusher/lab/stand_ins/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
-Seconds = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # finite, as sidecars' settings require
+Seconds = Annotated[float, msgspec.Meta(ge=0, le=1e9)]  # finite because sidecars' settings allow no infinity
 Positive = Annotated[float, msgspec.Meta(gt=0, le=1e9)]
 UnitFraction = Annotated[float, msgspec.Meta(ge=0, le=1)]
 
@@ -26,7 +26,7 @@
     thrash: Seconds = 0.08  # relative slowdown of all work per request per core above `thrash_at`
     thrash_at: Seconds = 10.0
     cold_from: Annotated[float, msgspec.Meta(gt=0, le=1)] = 0.25  # fraction of the capacity at a cold start
-    cold_s: Seconds = 12.0  # maximum warm-up time
+    cold_s: Seconds = 12.0  # maximum warm-up time, in seconds
     warm_by: Literal["time", "work"] = "work"
     warm_work: Positive = 0.3  # work that completes the warm-up, relative to `cold_s` at full capacity
     falls: bool = True  # whether overload during warm-up permanently stops the node
@@ -34,10 +34,13 @@
     fall_s: Positive = 3.0
     connections: Annotated[int, msgspec.Meta(ge=1)] = 1200
     full_tax: Annotated[float, msgspec.Meta(ge=0, lt=1)] = 0.25  # fraction of capacity lost at `connections`
-    handshake_s: Seconds = 0.002  # added latency of the first request on a connection
+    handshake_s: Seconds = 0.002  # added latency of a connection's first request, in seconds
     handshake_work_s: Seconds = 0.001
-    idle_s: Positive = 30.0  # time after which the node closes an idle connection
-    report_fields: tuple[str, ...] = ("throughput", "utilization")  # empty for no load reports
+    idle_s: Positive = 30.0  # seconds after which the node closes an idle connection
+    report_fields: tuple[str, ...] = (
+        "throughput",
+        "utilization",
+    )  # fields of a load report; empty for no reports
     report_period_s: Positive = 1.0
     report_delay_s: Seconds = 0.25
     report_noise: Seconds = 0.03
@@ -54,10 +57,10 @@
 
     call_s: Seconds = 0.02
     line_s: Seconds = 0.0005
-    timeout_s: Positive = 3.0  # waiting time after which a request fails
+    timeout_s: Positive = 3.0  # seconds of waiting after which a request fails
     fails_by: Literal["503", "reset"] = "503"
-    beat_s: Positive = 2.0  # interval between heartbeats (empty lines) while nothing changes
-    spread_s: Seconds = 0.05  # maximum delay until a change reaches the watches
+    beat_s: Positive = 2.0  # seconds between heartbeats (empty lines) while nothing changes
+    spread_s: Seconds = 0.05  # maximum delay until a change reaches the watches, in seconds
     history: Annotated[int, msgspec.Meta(ge=1)] = 64  # number of past versions with available changes
 
 
@@ -82,12 +85,12 @@
     """A request that a client sends at a set time, regardless of the outcome of earlier requests."""
 
     id: str
-    at_s: Seconds  # time of sending, after the start
+    at_s: Seconds  # time of sending, in seconds after the start
     request_class: str
     unsafe: bool = False  # whether the request is non-idempotent
     tenant: str = ""
-    wait_s: Positive = 1.0  # time limit for a response, over all attempts
+    wait_s: Positive = 1.0  # time limit for a response over all attempts, in seconds
     work_s: Positive = 0.05
-    hint_s: Seconds = 0.0  # value of the work hint header; 0 for no header
+    hint_s: Seconds = 0.0  # work announced in the Work-Hint header, in seconds; 0 for no header
     body_bytes: Count = 0
     sidecar: Count = 0  # index of the sidecar beside the client
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -85,14 +85,10 @@
         (f"{WATCH}&since=7", (9, False, CHANGED)),
         (f"{WATCH}&since=8", (9, False, CHANGED[1:])),
         (f"{WATCH}&since=9", (9, False, [])),
-        (
-            f"{WATCH}&since=6",
-            (9, True, [("a", "Ready"), ("b", "Terminating")]),
-        ),  # older than the available history
-        (
-            f"{WATCH}&since=10",
-            (9, True, [("a", "Ready"), ("b", "Terminating")]),
-        ),  # the version of another discovery service
+        # Version 6 is older than the available history.
+        (f"{WATCH}&since=6", (9, True, [("a", "Ready"), ("b", "Terminating")])),
+        # Version 10 must come from another discovery service.
+        (f"{WATCH}&since=10", (9, True, [("a", "Ready"), ("b", "Terminating")])),
         (f"{WATCH}&since=x", (9, True, [("a", "Ready"), ("b", "Terminating")])),
         ("/v1/endpoints", (9, True, [("a", "Ready"), ("b", "Terminating")])),
     ],
@@ -194,10 +190,8 @@
     lines, ended = watch(lab, seconds=3.0)
     bad = [line for at, line in lines if at >= 0.5 and line]
     if how == "older":
-        assert [update(line)[:2] for line in bad] == [
-            (7, True),
-            (8, False),
-        ]  # the outdated list, then the change since its version
+        # The watch receives the outdated list, then the change since its version.
+        assert [update(line)[:2] for line in bad] == [(7, True), (8, False)]
         assert [each.sound for each in discovery.sent_updates] == [True, True, False, True]
     elif how in ("half-line", "bad-chunk"):
         assert not bad and ended == ("cut in a line" if how == "half-line" else "HttpError")
