--- a/brambleusher/lab/control/xds.py
+++ b/brambleusher/lab/control/xds.py
@@ -1,7 +1,7 @@
-"""Stand-ins for proxies that subscribe over xDS: both variants of the protocol, without I/O.
+"""Stand-ins for proxies that subscribe over xDS, for both variants of the protocol, without I/O.
 
-They follow the published protocol's client side in Envoy's order (clusters, endpoints, listeners,
-routes) and share no code with the service: what they believe is read from the published messages.
+The stand-ins implement the client side of the published protocol in Envoy's order (clusters, endpoints,
+listeners, routes).  They share no code with the service and decode the published protobuf messages.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 ASSIGNMENT = PREFIX + endpoint_pb2.ClusterLoadAssignment.DESCRIPTOR.full_name
 LISTENER = PREFIX + listener_pb2.Listener.DESCRIPTOR.full_name
 ROUTES = PREFIX + route_pb2.RouteConfiguration.DESCRIPTOR.full_name
-_KINDS: dict[str, Any] = {
+_MESSAGE_TYPES: dict[str, Any] = {
     CLUSTER: cluster_pb2.Cluster, ASSIGNMENT: endpoint_pb2.ClusterLoadAssignment,
     LISTENER: listener_pb2.Listener, ROUTES: route_pb2.RouteConfiguration,
 }  # fmt: skip
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A node as a proxy was told of it."""
+    """A node as described in an assignment that a proxy received."""
 
     address: str
     usable: bool
@@ -49,20 +49,25 @@
 
 
 def endpoints_of(assignment: Any) -> Iterator[Endpoint]:
-    """The nodes in an assignment; of one locality a node, the locality's weight is its own."""
-    for part in assignment.endpoints:
-        for each in part.lb_endpoints:
-            where = each.endpoint.address.socket_address
-            alone = bool(part.locality.sub_zone)
-            weight = part.load_balancing_weight.value if alone else each.load_balancing_weight.value
+    """Yield the nodes of an assignment.
+
+    Where each node has a locality of its own (a sub-zone), the locality's weight is the node's weight.
+    """
+    for group in assignment.endpoints:
+        for each in group.lb_endpoints:
+            address = each.endpoint.address.socket_address
+            has_own_locality = bool(group.locality.sub_zone)
+            weight = (
+                group.load_balancing_weight.value if has_own_locality else each.load_balancing_weight.value
+            )
             yield Endpoint(
-                f"{where.address}:{where.port_value}", each.health_status in (0, 1),
-                each.health_status == 3, weight, part.priority, part.locality.zone, part.locality.sub_zone,
+                f"{address.address}:{address.port_value}", each.health_status in (0, 1),
+                each.health_status == 3, weight, group.priority, group.locality.zone, group.locality.sub_zone,
             )  # fmt: skip
 
 
 def routes_of(listener: Any) -> str | None:
-    """The route table that a listener names."""
+    """Return the name of the route table that a listener refers to."""
     manager = hcm_pb2.HttpConnectionManager()
     packed = listener.api_listener.api_listener
     if not listener.HasField("api_listener"):
@@ -71,10 +76,10 @@
 
 
 @dataclass(slots=True)
-class _Held:
-    """One kind: what is wanted, what is held."""
+class _Subscription:
+    """Subscription to one resource type: the requested names, and the resources received."""
 
-    names: list[str]  # empty: all
+    names: list[str]  # requested names; empty for all resources
     version: str = ""
     nonce: str = ""
     resources: dict[str, Any] = field(default_factory=dict)
@@ -82,9 +87,10 @@
 
 
 class ProxyStandIn:
-    """One proxy: bytes of responses in, bytes of requests out; survives its connections.
+    """A proxy that turns the bytes of responses into the bytes of requests, over any number of connections.
 
-    `verdict` may refuse a response: it is given its kind and resources and gives a reason.
+    `verdict` is called with a response's type and resources, and returns a reason to reject the response
+    or None to accept it.
     """
 
     def __init__(
@@ -97,36 +103,39 @@
     ) -> None:
         self.incremental, self.verdict = incremental, verdict
         self.node = base_pb2.Node(id=name, user_agent_name=agent, locality=base_pb2.Locality(zone=zone))
-        self.kinds: dict[str, _Held] = {}
+        self.kinds: dict[str, _Subscription] = {}
         self.responses = 0
 
     # --- requests -------------------------------------------------------------------------------
 
     def connect(self, forget: bool = False) -> list[bytes]:
-        """A new stream's first requests; with `forget` the proxy has been started anew."""
+        """Return the first requests of a new stream; `forget` discards all state, as a restart does."""
         if forget:
             self.kinds.clear()
-        self.kinds.setdefault(CLUSTER, _Held([]))
-        for held in self.kinds.values():
-            held.nonce = ""
-        return [self._ask(kind, first=True) for kind in _KINDS if kind in self.kinds]
-
-    def _ask(
-        self, kind: str, first: bool = False, error: str | None = None, more: list[str] | None = None,
-        less: list[str] | None = None,
+        self.kinds.setdefault(CLUSTER, _Subscription([]))
+        for subscription in self.kinds.values():
+            subscription.nonce = ""
+        return [self._request(kind, first=True) for kind in _MESSAGE_TYPES if kind in self.kinds]
+
+    def _request(
+        self, kind: str, first: bool = False, error: str | None = None, subscribe: list[str] | None = None,
+        unsubscribe: list[str] | None = None,
     ) -> bytes:  # fmt: skip
-        held = self.kinds[kind]
+        subscription = self.kinds[kind]
         message: Any
         if self.incremental:
-            message = discovery_pb2.DeltaDiscoveryRequest(type_url=kind, response_nonce=held.nonce)
+            message = discovery_pb2.DeltaDiscoveryRequest(type_url=kind, response_nonce=subscription.nonce)
             if first:
-                message.resource_names_subscribe.extend(held.names)
-                message.initial_resource_versions.update(held.versions)
-            message.resource_names_subscribe.extend(more or [])
-            message.resource_names_unsubscribe.extend(less or [])
+                message.resource_names_subscribe.extend(subscription.names)
+                message.initial_resource_versions.update(subscription.versions)
+            message.resource_names_subscribe.extend(subscribe or [])
+            message.resource_names_unsubscribe.extend(unsubscribe or [])
         else:
             message = discovery_pb2.DiscoveryRequest(
-                type_url=kind, response_nonce=held.nonce, version_info=held.version, resource_names=held.names
+                type_url=kind,
+                response_nonce=subscription.nonce,
+                version_info=subscription.version,
+                resource_names=subscription.names,
             )
         if first:
             message.node.CopyFrom(self.node)
@@ -135,14 +144,14 @@
         return bytes(message.SerializeToString())
 
     def acknowledge(self, kind: str, nonce: str) -> bytes:
-        """Accept a response by its nonce alone, for one that does not look at what is in it."""
+        """Return the request that accepts a response by its nonce, without decoding the response."""
         self.kinds[kind].nonce = nonce
-        return self._ask(kind)
+        return self._request(kind)
 
     # --- responses ------------------------------------------------------------------------------
 
     def receive(self, data: bytes) -> list[bytes]:
-        """Take a response in; the requests that it leads to, the acknowledgement first."""
+        """Process a response and return the resulting requests, the acknowledgement first."""
         self.responses += 1
         message: Any
         if self.incremental:
@@ -152,69 +161,73 @@
             message = discovery_pb2.DiscoveryResponse.FromString(data)
             packed = [("", message.version_info, each) for each in message.resources]
         kind = message.type_url
-        held = self.kinds[kind]
-        held.nonce = message.nonce
+        subscription = self.kinds[kind]
+        subscription.nonce = message.nonce
         resources = [self._unpack(kind, each) for _, _, each in packed]
         reason = self.verdict(kind, resources)
         if reason is not None:
-            return [self._ask(kind, error=reason)]
+            return [self._request(kind, error=reason)]
         if not self.incremental:
-            held.version = message.version_info
+            subscription.version = message.version_info
         if not self.incremental and kind in (CLUSTER, LISTENER):
-            held.resources, held.versions = {}, {}
+            subscription.resources, subscription.versions = {}, {}
         for (_, version, _), resource in zip(packed, resources, strict=True):
             name = resource.cluster_name if kind == ASSIGNMENT else resource.name
-            held.resources[name], held.versions[name] = resource, version
+            subscription.resources[name], subscription.versions[name] = resource, version
         for name in getattr(message, "removed_resources", ()):
-            held.resources.pop(name, None)
-            held.versions.pop(name, None)
-        return [self._ask(kind), *self._follow(kind)]
+            subscription.resources.pop(name, None)
+            subscription.versions.pop(name, None)
+        return [self._request(kind), *self._follow_up(kind)]
 
     @staticmethod
     def _unpack(kind: str, packed: any_pb2.Any) -> Any:
         assert packed.type_url == kind, "a resource of another type than the response says"
-        return _KINDS[kind].FromString(packed.value)
+        return _MESSAGE_TYPES[kind].FromString(packed.value)
 
-    def _follow(self, kind: str) -> list[bytes]:
-        """What a response makes the proxy want next."""
+    def _follow_up(self, kind: str) -> list[bytes]:
+        """Return the requests for resources that a response of one type refers to."""
         if kind == CLUSTER:
             clusters = self.kinds[CLUSTER].resources.values()
             names = sorted({each.eds_cluster_config.service_name or each.name for each in clusters})
-            return self._want(ASSIGNMENT, names)
+            return self._subscribe(ASSIGNMENT, names)
         if kind == ASSIGNMENT and LISTENER not in self.kinds:
-            self.kinds[LISTENER] = _Held([])
-            return [self._ask(LISTENER, first=True)]
+            self.kinds[LISTENER] = _Subscription([])
+            return [self._request(LISTENER, first=True)]
         if kind == LISTENER:
             found = {routes_of(each) for each in self.kinds[LISTENER].resources.values()}
-            return self._want(ROUTES, sorted(name for name in found if name))
+            return self._subscribe(ROUTES, sorted(name for name in found if name))
         return []
 
-    def _want(self, kind: str, names: list[str]) -> list[bytes]:
-        held = self.kinds.get(kind)
-        if held is None:
+    def _subscribe(self, kind: str, names: list[str]) -> list[bytes]:
+        subscription = self.kinds.get(kind)
+        if subscription is None:
             if not names:
                 return []
-            self.kinds[kind] = _Held(names)
-            return [self._ask(kind, first=True)]
-        if names == held.names:
+            self.kinds[kind] = _Subscription(names)
+            return [self._request(kind, first=True)]
+        if names == subscription.names:
             return []
-        more = [name for name in names if name not in held.names]
-        less = [name for name in held.names if name not in names]
-        held.names = names
-        for name in less:
-            held.resources.pop(name, None)
-            held.versions.pop(name, None)
-        return [self._ask(kind, more=more, less=less)]
+        subscribe = [name for name in names if name not in subscription.names]
+        unsubscribe = [name for name in subscription.names if name not in names]
+        subscription.names = names
+        for name in unsubscribe:
+            subscription.resources.pop(name, None)
+            subscription.versions.pop(name, None)
+        return [self._request(kind, subscribe=subscribe, unsubscribe=unsubscribe)]
 
-    # --- what it believes -----------------------------------------------------------------------
+    # --- received state -------------------------------------------------------------------------
 
     def endpoints(self) -> list[Endpoint]:
-        """All nodes it was told of."""
-        held = self.kinds.get(ASSIGNMENT)
-        return [] if held is None else [e for each in held.resources.values() for e in endpoints_of(each)]
-
-    def complete(self) -> bool:
-        """Whether it has routes, and all that they lead to."""
+        """Return all nodes of the received assignments."""
+        subscription = self.kinds.get(ASSIGNMENT)
+        return (
+            []
+            if subscription is None
+            else [e for each in subscription.resources.values() for e in endpoints_of(each)]
+        )
+
+    def is_complete(self) -> bool:
+        """Return whether the proxy has routes, and the cluster and assignment of each route."""
         if ROUTES not in self.kinds or not self.kinds[ROUTES].resources:
             return False
         clusters = self.kinds[CLUSTER].resources
@@ -229,7 +242,7 @@
         return True
 
     def usable(self) -> dict[str, int]:
-        """The nodes of the best priority that has any, with their weights."""
+        """Return the addresses and weights of the usable nodes with the best priority."""
         nodes = [each for each in self.endpoints() if each.usable and each.weight]
         best = min((each.priority for each in nodes), default=0)
         return {each.address: each.weight for each in nodes if each.priority == best}
--- a/brambleusher/lab/control/xds_rules.py
+++ b/brambleusher/lab/control/xds_rules.py
@@ -1,7 +1,7 @@
-"""The rules that the published protos carry for their fields, checked as Envoy checks them.
+"""Checks of protobuf messages against the field rules of the published protos, as Envoy performs them.
 
-Envoy refuses a resource that breaks one.  They stand in the protos as options (`validate.rules`);
-a rule of a kind that is not known here is an error, so that nothing passes unlooked at.
+Envoy rejects a resource that violates a rule.  The rules are options in the protos (`validate.rules`); a
+rule of an unsupported kind raises an error, so that no rule is skipped silently.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from google.protobuf.message import Message
 from validate import validate_pb2
 
-_PASSED_OVER = {"ignore_empty", "strict", "well_known_regex", "unique"}
-_TESTS: dict[str, Callable[[Any, Any], bool]] = {
+_IGNORED_RULES = {"ignore_empty", "strict", "well_known_regex", "unique"}
+_CHECKS: dict[str, Callable[[Any, Any], bool]] = {
     "const": lambda value, rule: value == rule,
     "lt": lambda value, rule: value < rule,
     "lte": lambda value, rule: value <= rule,
@@ -39,46 +39,46 @@
 }
 
 
-def _number(value: Any) -> Any:
-    """A duration in nanoseconds; anything else as it is."""
+def _comparable(value: Any) -> Any:
+    """Return a duration in nanoseconds, and any other value unchanged."""
     return value.ToNanoseconds() if isinstance(value, duration_pb2.Duration) else value
 
 
-def _breaks(value: Any, kind: str, rules: Message, field: FieldDescriptor) -> Iterator[str]:
+def _violations(value: Any, kind: str, rules: Message, field: FieldDescriptor) -> Iterator[str]:
     if getattr(rules, "ignore_empty", False) and not value:
         return
     for option, rule in rules.ListFields():
         name = option.name
-        if name in _PASSED_OVER or name in ("required", "skip"):
+        if name in _IGNORED_RULES or name in ("required", "skip"):
             continue
         if name == "defined_only":
-            good = not rule or value in field.enum_type.values_by_number
+            is_valid = not rule or value in field.enum_type.values_by_number
         elif name == "items":
             for item in value:
-                yield from _field_rules(item, rule, field)
+                yield from _field_violations(item, rule, field)
             continue
-        elif name in _TESTS:
-            good = _TESTS[name](_number(value), _number(rule))
+        elif name in _CHECKS:
+            is_valid = _CHECKS[name](_comparable(value), _comparable(rule))
         else:
-            raise NotImplementedError(f"the rule {kind}.{name}")
-        if not good:
-            yield f"is {str(value)[:60]!r}, against {kind}.{name} {str(rule)[:60]}"
+            raise NotImplementedError(f"unsupported rule {kind}.{name}")
+        if not is_valid:
+            yield f"is {str(value)[:60]!r}, which violates {kind}.{name} {str(rule)[:60]}"
 
 
-def _field_rules(value: Any, rules: Any, field: FieldDescriptor) -> Iterator[str]:
+def _field_violations(value: Any, rules: Any, field: FieldDescriptor) -> Iterator[str]:
     kind = rules.WhichOneof("type")
     if kind is None:
         return
     if kind == "map":
-        raise NotImplementedError("rules of a map")
+        raise NotImplementedError("unsupported rules of a map field")
     if isinstance(value, Message) and hasattr(value, "value") and not isinstance(value, any_pb2.Any):
-        value = value.value  # a wrapped number has the number's rules
-    yield from _breaks(value, kind, getattr(rules, kind), field)
+        value = value.value  # the rules of a wrapper message apply to the wrapped value
+    yield from _violations(value, kind, getattr(rules, kind), field)
 
 
-def _missing(message: Message, field: FieldDescriptor, rules: Any) -> bool:
-    """Whether a field that must be there is not."""
-    if field.containing_oneof is not None:  # required where it is the one that was chosen
+def _is_missing(message: Message, field: FieldDescriptor, rules: Any) -> bool:
+    """Return whether a required field is missing."""
+    if field.containing_oneof is not None:  # required only if it is the field set in the oneof
         return False
     kind = rules.WhichOneof("type")
     required = rules.message.required or (
@@ -87,27 +87,27 @@
     return bool(required) and not message.HasField(field.name)
 
 
-def faults(message: Message, path: str = "") -> Iterator[str]:
-    """Every rule that a message, or one within it, breaks; what is packed in it is unpacked."""
+def rule_violations(message: Message, path: str = "") -> Iterator[str]:
+    """Yield a text for each rule that a message or a nested message violates, with `Any` fields unpacked."""
     path = path or message.DESCRIPTOR.name
     if isinstance(message, any_pb2.Any):
         inner = symbol_database.Default().GetSymbol(message.TypeName())()
         assert message.Unpack(inner)
-        yield from faults(inner, f"{path}<{inner.DESCRIPTOR.name}>")
+        yield from rule_violations(inner, f"{path}<{inner.DESCRIPTOR.name}>")
         return
     for group in message.DESCRIPTOR.oneofs:
         if group.GetOptions().Extensions[validate_pb2.required] and not message.WhichOneof(group.name):
             yield f"{path}.{group.name} has none of its fields"
     for field in message.DESCRIPTOR.fields:
         rules = field.GetOptions().Extensions[validate_pb2.rules]
-        if _missing(message, field, rules):
+        if _is_missing(message, field, rules):
             yield f"{path}.{field.name} is missing"
             continue
         value, repeated = getattr(message, field.name), field.is_repeated
         present = repeated or not field.has_presence or message.HasField(field.name)
         if not present:
             continue
-        yield from (f"{path}.{field.name} {text}" for text in _field_rules(value, rules, field))
+        yield from (f"{path}.{field.name} {text}" for text in _field_violations(value, rules, field))
         if field.type == FieldDescriptor.TYPE_MESSAGE and not field.message_type.GetOptions().map_entry:
             for at, each in enumerate(value if repeated else [value]):
-                yield from faults(each, f"{path}.{field.name}" + (f"[{at}]" if repeated else ""))
+                yield from rule_violations(each, f"{path}.{field.name}" + (f"[{at}]" if repeated else ""))
--- a/brambleusher/lab/experiments/direct.py
+++ b/brambleusher/lab/experiments/direct.py
@@ -11,7 +11,7 @@
 from brambleusher.lab.experiments.figures import OutcomeCounter
 from brambleusher.lab.experiments.noting import recording_node
 from brambleusher.lab.experiments.plan import Cell
-from brambleusher.lab.fleets.figures import NodeFigures
+from brambleusher.lab.fleets.figures import NodeSpec
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load import demand
 from brambleusher.load.fidelity import ReceivedRequest
@@ -31,7 +31,7 @@
     cell: Cell, requests: list[Request], plan: PlayOptions, span_s: float
 ) -> tuple[OutcomeCounter, list[ReceivedRequest], list[Execution], int]:
     """PlayOptions the requests; return outcome counts, received requests, executions and start time in ns."""
-    world = cell.figures.figures(span_s)
+    world = cell.figures.world_spec(span_s)
     nodes = [node for node in world.nodes if not node.spare]
     context = multiprocessing.get_context("spawn")
     pipes: list[Connection] = []
@@ -76,7 +76,7 @@
                 child.terminate()
 
 
-def _serve(seed: int, nodes: list[NodeFigures], pipe: Connection) -> None:
+def _serve(seed: int, nodes: list[NodeSpec], pipe: Connection) -> None:
     """Run nodes in this process; send their requests and executions when the parent asks for them."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     scheduler = Scheduler(RealSystem())
--- a/brambleusher/lab/experiments/figures.py
+++ b/brambleusher/lab/experiments/figures.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable, Sequence
 
 from brambleusher.lab.experiments.store import CellResult
-from brambleusher.lab.fleets.figures import WorldFigures
+from brambleusher.lab.fleets.figures import WorldSpec
 from brambleusher.lab.stand_ins.node import Execution
 from brambleusher.load.results import ENDS, PERCENTILES, Outcome, Results
 from brambleusher.load.times import SECOND
@@ -19,7 +19,7 @@
 class OutcomeCounter:
     """Counts the outcomes of requests reported by a player, and computes the metrics of a run from them."""
 
-    def __init__(self, world: WorldFigures, speed: float, span_s: float) -> None:
+    def __init__(self, world: WorldSpec, speed: float, span_s: float) -> None:
         """Start with empty counters; `span_s` is the duration of the play in seconds of run time."""
         self.world, self.span_s = world, span_s
         self.results = Results(speed=speed)
@@ -30,7 +30,7 @@
         self._on_time = 0
 
     @classmethod
-    def of(cls, world: WorldFigures, results: Results, span_s: float) -> OutcomeCounter:
+    def of(cls, world: WorldSpec, results: Results, span_s: float) -> OutcomeCounter:
         """Build the counters from merged results of several processes.
 
         Their windows become the steps of the series; worth and latency targets are unknown in this case.
--- a/brambleusher/lab/experiments/plan.py
+++ b/brambleusher/lab/experiments/plan.py
@@ -10,7 +10,7 @@
 import msgspec
 import yaml
 
-from brambleusher.lab.fleets.worlds import WorldError, WorldFile, world_of
+from brambleusher.lab.fleets.worlds import WorldError, WorldFile, parse_world
 from brambleusher.lab.stand_ins.settings import Settings
 from brambleusher.load import shape, synthetic
 from brambleusher.load.demand import DemandError, DemandFile
@@ -151,8 +151,8 @@
         raw_world = _load_world(f"worlds.{world_name}", world, folder)
         for settings_name, overrides in file.settings.items():
             try:
-                merged_world = world_of(raw_world, overrides)
-                merged_world.figures()
+                merged_world = parse_world(raw_world, overrides)
+                merged_world.world_spec()
             except WorldError as error:
                 at = f"worlds.{world_name}" + (f" with settings.{settings_name}" if overrides else "")
                 raise ExperimentError(f"{at}: {error}") from None
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -25,7 +25,7 @@
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.real_fleet import RealFleet
 from brambleusher.lab.stand_ins.node import Execution
-from brambleusher.lab.stand_ins.settings import Ask
+from brambleusher.lab.stand_ins.settings import PlannedRequest
 from brambleusher.lab.virtual.world import START_NS, WALL_NS, Tap
 from brambleusher.load.fidelity import ReceivedRequest, compare_with_demand
 from brambleusher.load.pacing import Pace
@@ -58,8 +58,8 @@
         self._new_player, self._direct = new_player, direct
         self.player: Player | None = None
 
-    def _submit(self, scheduler: Scheduler) -> None:
-        nodes = [node.address for node in self.places if node.up]
+    def _start_clients(self, scheduler: Scheduler) -> None:
+        nodes = [node.address for node in self.node_instances if node.up]
         targets = nodes if self._direct else [sidecar.address for sidecar in self.sidecars]
         self.player = self._new_player(scheduler, targets)
         self.player.start(self.begins_ns)
@@ -92,10 +92,10 @@
 def run_virtual(cell: Cell, requests: list[Request]) -> CellResult:
     """Run a cell in virtual time; if `cell.check` is set, check every byte on the wire against the rules."""
     span_s, direct = play_seconds(cell, requests), cell.through == "nodes"
-    world = cell.figures.figures(span_s + 0.001)
+    world = cell.figures.world_spec(span_s + 0.001)
     if direct:
         world = msgspec.structs.replace(world, sidecars=())
-    sample = Ask(id="sample", at_s=0.0, request_class=world.classes[0].name)
+    sample = PlannedRequest(id="sample", at_s=0.0, request_class=world.classes[0].name)
     scenario = Scenario(seed=cell.seed, world=world, asks=(sample,), faults=cell.figures.faults)
     counts, received = OutcomeCounter(world, cell.speed, span_s), list[ReceivedRequest]()
 
@@ -112,7 +112,7 @@
             fleet.new_node = partial(recording_node, received, lambda: fleet.begins_ns)
         elif cell.check:
             checker = Checker(Rules.from_settings(world.sidecar_settings(0)), fleet.executions)
-            fleet.audience = checker
+            fleet.monitor = checker
             virtual_world.taps.append(cast(Tap, checker))
             step = checker.step
             virtual_world.step_hooks.append(lambda: step(virtual_world.now_ns))
@@ -123,9 +123,7 @@
             fleet.player.scheduler.call_soon(fleet.player.close)
         shutdown_reports = fleet.quiesce()
         if checker is not None:
-            checker.finish(
-                virtual_world.now_ns, [text for end in shutdown_reports for text in end.left_over()]
-            )
+            checker.finish(virtual_world.now_ns, [text for end in shutdown_reports for text in end.leaks()])
         events = _collect_events(fleet, cell)
         documents: dict[str, object] = {}
         extra_metrics = {"was_late": float(counts.results.late)}
@@ -175,7 +173,7 @@
         events.append((fault.at_s, f"{fault.kind}{target} begins"))
         events.append((fault.at_s + fault.for_s, f"{fault.kind}{target} ends"))
     last_states: dict[str, str] = {}
-    for announcement in fleet.discovery.told:
+    for announcement in fleet.discovery.sent_updates:
         for entry in announcement.entries:
             if last_states.get(entry.id, "Ready") != entry.state:
                 at_s = (announcement.at_ns - fleet.begins_ns) / SECOND
@@ -185,7 +183,7 @@
         for process in [*sidecar.ended, *([sidecar.process] if sidecar.process is not None else [])]:
             zero_ns = WALL_NS + fleet.begins_ns - START_NS
             events += _log_warnings(
-                sidecar.figures.name, bytes(process.stderr).decode("utf-8", "replace"), zero_ns
+                sidecar.spec.name, bytes(process.stderr).decode("utf-8", "replace"), zero_ns
             )
     return events[:MAX_EVENTS]
 
@@ -212,7 +210,10 @@
         document, deviations = _measure_fidelity(cell, requests, received)
         deviations["was_late"] = float(counts.results.late)
         return counts.result(executions, start_ns, (), deviations, {"fidelity": document})
-    counts, executions = OutcomeCounter(cell.figures.figures(span_s), cell.speed, span_s), list[Execution]()
+    counts, executions = (
+        OutcomeCounter(cell.figures.world_spec(span_s), cell.speed, span_s),
+        list[Execution](),
+    )
     scheduler = Scheduler(RealSystem())
     put_off()
     with tempfile.TemporaryDirectory(prefix="brambleusher-lab-") as folder:
--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -87,4 +87,4 @@
 
 def apply_breakage(name: str) -> AbstractContextManager[None]:
     """Return a context in which the named breakage is applied; raises `KeyError` for an unknown name."""
-    return ALL_BREAKAGES[name].on()
+    return ALL_BREAKAGES[name].activated()
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -21,15 +21,15 @@
 from brambleusher.lab.checker.sums import Curve, FleetTotals, describe_exceeded
 from brambleusher.lab.collection import uncollected
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
-from brambleusher.lab.fleets.figures import Drawer, Ranges, WorldFigures, draw_world
-from brambleusher.lab.fleets.fleet import AnyFleet, Fleet, world_of
+from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_world
+from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, empty_world
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.fleets.worlds import laid_over
+from brambleusher.lab.fleets.worlds import merge_mappings
 from brambleusher.lab.processes.breakages import apply_breakage
 from brambleusher.lab.processes.fleet import PerSidecarAudience, RealFleet, raise_descriptor_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import UsageSampler
-from brambleusher.lab.stand_ins.settings import Ask, Part, Positive, Seconds, Settings
+from brambleusher.lab.stand_ins.settings import PlannedRequest, Positive, Seconds, Settings, UnitFraction
 from brambleusher.lab.virtual.explore import LoggedExceptions, fleet_limits, redirect_log
 from brambleusher.lab.virtual.world import Tap
 
@@ -58,8 +58,8 @@
 class Expected(Settings, frozen=True):
     """Results that a drill must reach, in addition to breaking no rule."""
 
-    served: Part = 0.0  # the least share of requests that must be served
-    refused: Part = 1.0  # the largest share of tries that may be refused
+    served: UnitFraction = 0.0  # the least share of requests that must be served
+    refused: UnitFraction = 1.0  # the largest share of tries that may be refused
     well_s: Seconds = 1e9  # the longest time after the last fault until every second is served well
     limits: bool = True  # whether fleet-wide totals and resources of processes must stay within their limits
 
@@ -128,7 +128,7 @@
         length_s=max(drill.length_s, last_end_s + drill.after_s),
     )  # fmt: skip
     if drill.world:
-        world = msgspec.convert(laid_over(msgspec.to_builtins(world), drill.world), WorldFigures)
+        world = msgspec.convert(merge_mappings(msgspec.to_builtins(world), drill.world), WorldSpec)
     check_faults(drill.faults, world)
     only = [fault.kind for fault in drill.faults if fault.worlds == "processes"]
     if only and drill.needs != "processes":
@@ -139,16 +139,16 @@
     )  # fmt: skip
 
 
-def _draw_asks(seed: int, world: WorldFigures) -> tuple[Ask, ...]:
+def _draw_asks(seed: int, world: WorldSpec) -> tuple[PlannedRequest, ...]:
     """Draw Poisson arrivals, each at a sidecar chosen at random."""
-    rng = Drawer(seed, "drill asks").rng
+    rng = Sampler(seed, "drill asks").rng
     asks, at = [], 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
         of = rng.choices(world.classes, [each.share for each in world.classes])[0]
         tenant = rng.choices(world.tenants, [each.share for each in world.tenants])[0].name
         work = of.draw_work(rng)
         asks.append(
-            Ask(
+            PlannedRequest(
                 id=f"{rng.getrandbits(64):016x}", at_s=round(at, 5), request_class=of.name, unsafe=of.unsafe,
                 tenant=tenant if world.tenants else "", wait_s=of.deadline_s, work_s=round(work, 5),
                 hint_s=round(work * math.exp(rng.gauss(0, 0.4)), 5), body_bytes=200 if of.unsafe else 0,
@@ -214,11 +214,11 @@
 
 def _play_virtual(drill: Drill, breakage: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
-    with world_of(scenario) as world, apply_breakage(breakage) if breakage else nullcontext():
+    with empty_world(scenario) as world, apply_breakage(breakage) if breakage else nullcontext():
         rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = checker
+        fleet.monitor = checker
         raised = LoggedExceptions(world)
         sums = FleetTotals(world.now_ns, fleet_limits(scenario, rules))
         world.taps += [cast(Tap, checker), cast(Tap, sums)]
@@ -226,7 +226,7 @@
         begun = world.now_ns
         with redirect_log([raised]):
             ends = fleet.play()
-        checker.finish(world.now_ns, [text for end in ends for text in end.left_over()])
+        checker.finish(world.now_ns, [text for end in ends for text in end.leaks()])
         sums.finish(fleet.executions)
         outcome.curves, outcome.begins_s = sums.curves, (fleet.begins_ns - begun) / SECOND
         _evaluate(drill, fleet, checker, outcome)
@@ -247,7 +247,7 @@
     try:
         fleet = RealFleet(scenario, stage, breakage=breakage)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = cast(Any, PerSidecarAudience(fleet, checker))
+        fleet.monitor = cast(Any, PerSidecarAudience(fleet, checker))
         sums, usage, created_ns = (
             FleetTotals(stage.now_ns, fleet_limits(scenario, rules)),
             UsageSampler(fleet),
@@ -261,7 +261,7 @@
             stage.run(fleet.ends_ns)
             stage.end_measure(begun)
         ends = fleet.quiesce()
-        checker.finish(stage.now_ns, [text for end in ends for text in end.left_over()])
+        checker.finish(stage.now_ns, [text for end in ends for text in end.leaks()])
         sums.finish(fleet.executions)
         outcome.curves = (*sums.curves, *usage.curves)
         outcome.begins_s = (fleet.begins_ns - created_ns) / SECOND
@@ -298,7 +298,7 @@
     return sorted(values)[int(0.99 * (len(values) - 1))] if values else 0.0
 
 
-def _evaluate(drill: Drill, fleet: AnyFleet, checker: Checker, outcome: Outcome) -> None:
+def _evaluate(drill: Drill, fleet: BaseFleet, checker: Checker, outcome: Outcome) -> None:
     asked = [each for each in fleet.asked if each.tries]
     tries = [each for one in asked for each in one.tries]
     outcome.asked = len(asked)
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from brambleusher.lab.fleets.figures import SidecarFigures
-from brambleusher.lab.fleets.fleet import AnyFleet, Audience, SidecarEnd, SidecarPlace
+from brambleusher.lab.fleets.figures import SidecarSpec
+from brambleusher.lab.fleets.fleet import BaseFleet, FleetMonitor, SidecarInstance, SidecarResources
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.processes.parent import signal_on_parent_end
 from brambleusher.lab.processes.stage import RealStage
-from brambleusher.lab.stand_ins.client import says_ready
+from brambleusher.lab.stand_ins.client import reports_ready
 from brambleusher.lab.stand_ins.discovery import Entry
 from brambleusher.net.http import HttpError
 from brambleusher.runtime.scheduler import TaskTimeoutError
@@ -39,7 +39,7 @@
     def __init__(self, place: RealSidecarPlace, command: list[str], environment: dict[str, str]) -> None:
         self.place, stage = place, place.stage
         self.stage = stage
-        self.log = stage.folder / f"{place.figures.name}.{place.starts}.log"
+        self.log = stage.folder / f"{place.spec.name}.{place.starts}.log"
         with open(self.log, "wb") as log:
             self._popen = subprocess.Popen(
                 command, env={**os.environ, **environment}, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
@@ -157,19 +157,19 @@
             self.place.paused(on)
 
 
-class RealSidecarPlace(SidecarPlace):
+class RealSidecarPlace(SidecarInstance):
     """The machine, the files and the real process of one sidecar."""
 
     fleet: RealFleet
 
-    def __init__(self, fleet: RealFleet, number: int, figures: SidecarFigures) -> None:
-        super().__init__(fleet, number, figures)
+    def __init__(self, fleet: RealFleet, number: int, spec: SidecarSpec) -> None:
+        super().__init__(fleet, number, spec)
         self.stage = fleet.stage
-        self.machine_on_rig = self.stage.machines[figures.name]
+        self.machine_on_rig = self.stage.machines[spec.name]
         self.ready = False
         self.idle_descriptors = 0  # the number of open descriptors of an idle process, without connections
-        self._config = self.stage.folder / f"{figures.name}.json"
-        self._operator_path = self.stage.folder / f"{figures.name}.operator.yaml"
+        self._config = self.stage.folder / f"{spec.name}.json"
+        self._operator_path = self.stage.folder / f"{spec.name}.operator.yaml"
 
     def write_files(self) -> None:
         """Write the sidecar's configuration file and operator file with their current contents."""
@@ -185,7 +185,7 @@
             *(["--breakage", self.fleet.breakage] if self.fleet.breakage else []),
         ]  # fmt: skip
         environment = {"NODE_CONFIG": str(self._config), "PYTHONPATH": os.pathsep.join(sys.path)}
-        if self.fleet.called:
+        if self.fleet.has_operators:
             environment["NODE_ADMIN_ADDR"] = "{}:{}".format(*self.admin)
         process = SidecarProcess(self, command, environment)
         self.machine_on_rig.process = process
@@ -206,9 +206,9 @@
                 if process.dead:
                     return
                 self.stage.network.set_listening(self.address, True)
-                if self.fleet.called:
+                if self.fleet.has_operators:
                     self.stage.network.set_listening(self.admin, True)
-                self.ready = says_ready(stream, deadline)
+                self.ready = reports_ready(stream, deadline)
             except (OSError, TaskTimeoutError, HttpError):
                 pass
             finally:
@@ -233,29 +233,30 @@
         self.machine_on_rig.stall(wait_ns)
 
     def paused(self, on: bool) -> None:
-        """Report to the audience that the process was stopped or continued."""
-        self.fleet.audience.paused(self.stage.now_ns, self.machine.name, on)
+        """Report to the monitor that the process was stopped or continued."""
+        self.fleet.monitor.paused(self.stage.now_ns, self.machine.name, on)
 
-    def _set_limit(self) -> None:
+    def _apply_descriptor_limit(self) -> None:
         if self.process is not None:
             # The configured number of sockets, plus the descriptors that the interpreter itself has open.
-            usual = self.figures.sockets + 2 * STANDARD_DESCRIPTORS
-            self.process.limit = min([usual, *(limit for _, limit in self._squeezes)])
-        self.machine_on_rig.descriptors_limited = bool(self._squeezes)
-        self.fleet.audience.descriptors_short(self.stage.now_ns, self.machine.name, bool(self._squeezes))
-
-    def state(self) -> SidecarEnd:
+            usual = self.spec.sockets + 2 * STANDARD_DESCRIPTORS
+            self.process.limit = min([usual, *(limit for _, limit in self._descriptor_limits)])
+        self.machine_on_rig.descriptors_limited = bool(self._descriptor_limits)
+        self.fleet.monitor.descriptors_short(
+            self.stage.now_ns, self.machine.name, bool(self._descriptor_limits)
+        )
+
+    def state(self) -> SidecarResources:
         """Return the process's state as seen from outside; descriptors beyond those due are leaked."""
-        process, name = self.process, self.figures.name
+        process, name = self.process, self.spec.name
         if process is None or process.dead:
-            return SidecarEnd(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
+            return SidecarResources(name, False, 0, 0, 0, 0, 0, 0, 0, 0, self.stderr)
         relays = self.stage.network.relays.values()
         asked = sum(each.route.server is self.machine_on_rig for each in relays)
-        return SidecarEnd(
-            name=name, up=True, tickets=0, clients=asked, claims=0, node_connections=0, node_idle=0,
-            timers=0, descriptors=process.descriptors,
-            descriptors_due=self.idle_descriptors + self.stage.network.open_connections(self.machine_on_rig),
-            stderr=b"",
+        return SidecarResources(
+            name=name, up=True, pending_requests=0, clients=asked, open_attempts=0, node_connections=0,
+            node_idle=0, timers=0, descriptors=process.descriptors, descriptors_expected=self.idle_descriptors
+            + self.stage.network.open_connections(self.machine_on_rig), stderr=b"",
         )  # fmt: skip
 
     @property
@@ -267,8 +268,8 @@
 class PerSidecarAudience:
     """Reports each node and discovery to an audience at every address at which a sidecar reaches it."""
 
-    def __init__(self, fleet: RealFleet, audience: Audience) -> None:
-        self._fleet, self._audience = fleet, audience
+    def __init__(self, fleet: RealFleet, monitor: FleetMonitor) -> None:
+        self._fleet, self._audience = fleet, monitor
 
     def __getattr__(self, name: str) -> Any:
         """Pass on all notifications that carry no address."""
@@ -289,17 +290,17 @@
             self._audience.node(now, name, each, started_ms)
 
 
-class RealFleet(AnyFleet):
+class RealFleet(BaseFleet):
     """A fleet with real sidecars; `breakage` names a deliberate fault to apply in each of them."""
 
     stage: RealStage
     linger_s = LINGER_SECONDS
 
     def __init__(
-        self, scenario: Scenario, stage: RealStage, audience: Audience | None = None, breakage: str = ""
+        self, scenario: Scenario, stage: RealStage, monitor: FleetMonitor | None = None, breakage: str = ""
     ) -> None:
         self.stage, self.breakage = stage, breakage
-        super().__init__(scenario, stage, audience)
+        super().__init__(scenario, stage, monitor)
         self._by_ip = {place.machine_on_rig.ip: place.machine_on_rig for place in self.real_places}
 
     @property
@@ -307,9 +308,9 @@
         """The places of all sidecars."""
         return [place for place in self.sidecars if isinstance(place, RealSidecarPlace)]
 
-    def new_sidecar(self, number: int, figures: SidecarFigures) -> SidecarPlace:
+    def new_sidecar(self, number: int, spec: SidecarSpec) -> SidecarInstance:
         """Return a new place for a sidecar with a real process."""
-        return RealSidecarPlace(self, number, figures)
+        return RealSidecarPlace(self, number, spec)
 
     def seen_by(self, ip: str, entry: Entry) -> Entry:
         """Return a node's entry with the address at which the sidecar at `ip` reaches the node."""
@@ -327,7 +328,7 @@
         """
         limit = self.stage.now_ns + int(READY_TIMEOUT_SECONDS * 1e9)
         if not self.stage.run(limit, lambda: all(place.ready for place in self.real_places)):
-            late = [place.figures.name for place in self.real_places if not place.ready]
+            late = [place.spec.name for place in self.real_places if not place.ready]
             raise RuntimeError(f"sidecars not ready within {READY_TIMEOUT_SECONDS:g} s: {', '.join(late)}")
         length = self.ends_ns - self.begins_ns
         self.begins_ns = self.stage.now_ns + 200_000_000
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -21,11 +21,11 @@
 import msgspec
 import yaml
 
-from brambleusher.lab.fleets.figures import NodeFigures, WorldFigures
+from brambleusher.lab.fleets.figures import NodeSpec, WorldSpec
 from brambleusher.lab.fleets.fleet import configuration
 from brambleusher.lab.fleets.worlds import WorldFile
 from brambleusher.lab.processes.parent import signal_on_parent_end
-from brambleusher.lab.stand_ins.client import says_ready
+from brambleusher.lab.stand_ins.client import reports_ready
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
 from brambleusher.lab.stand_ins.node import Execution, Node
 from brambleusher.net.http import HttpError
@@ -104,12 +104,12 @@
     ) -> None:
         """`executions` collects what nodes execute; by default only the latest executions are kept."""
         self.scheduler, self.world, self.folder = scheduler, world, folder
-        self.figures: WorldFigures = world.figures()
+        self.figures: WorldSpec = world.world_spec()
         self.seed = world.seed if seed is None else seed
         self.executions: MutableSequence[Execution] = (
             deque(maxlen=EXECUTIONS_MAX) if executions is None else executions
         )
-        self.nodes: list[tuple[NodeFigures, Node]] = []
+        self.nodes: list[tuple[NodeSpec, Node]] = []
         self.discovery: Discovery | None = None
         self.sidecars: list[SidecarProcess] = []
         self.fallen: set[str] = set()
@@ -124,13 +124,13 @@
                 entries.append(self._start_node(figures))
         self.discovery = Discovery(
             self.scheduler, self.figures.discovery, "discovery", self.seed, entries=entries,
-            told=deque(maxlen=1000),
+            sent_updates=deque(maxlen=1000),
         )  # fmt: skip
         where = self.discovery.listen((LOOPBACK, 0))
         for number, sidecar in enumerate(self.figures.sidecars):
             self._start_sidecar(number, sidecar.name, sidecar.zone, where, entries)
 
-    def _start_node(self, figures: NodeFigures) -> Entry:
+    def _start_node(self, figures: NodeSpec) -> Entry:
         node = Node(self.scheduler, figures.settings, figures.id, self.seed, executions=self.executions)
         host, port = node.listen((LOOPBACK, 0))
         entry = Entry(
@@ -203,7 +203,7 @@
         except (OSError, TaskTimeoutError):
             return False
         try:
-            return says_ready(stream, deadline)
+            return reports_ready(stream, deadline)
         except (OSError, TaskTimeoutError, HttpError):
             return False
         finally:
--- a/brambleusher/lab/stand_ins/client.py
+++ b/brambleusher/lab/stand_ins/client.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: requests at set times, kept connections, retries, and a book of every try."""
+"""Stand-in clients, with requests at set times, connection reuse, retries, and a log of every attempt."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from brambleusher.lab.stand_ins.node import WORK_HEADER
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings
+from brambleusher.lab.stand_ins.settings import ClientSettings, PlannedRequest
 from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_request
 from brambleusher.runtime.scheduler import Event, Scheduler, Task, TaskTimeoutError
 from brambleusher.runtime.streams import Stream
@@ -16,46 +16,47 @@
 READY_PAUSE = 0.05
 CONNECT_SECONDS = 1.0
 CROSSING_SECONDS = 0.02
-SHORTEST_WAIT = 0.02  # less is not worth a try
-LINGER_SECONDS = 0.1  # past its time one who is patient still listens: sidecars have 50 ms of grace
+SHORTEST_WAIT = 0.02  # minimum time that must be left for another attempt, in seconds
+# Time in seconds for which a client listens past its deadline, above the 50 ms of grace that sidecars have.
+LINGER_SECONDS = 0.1
 
 
 @dataclass(eq=False, slots=True)
-class Try:
-    """One request as written to a sidecar, and what came of it.  Times are monotonic nanoseconds."""
+class RequestAttempt:
+    """An attempt: a request sent to a sidecar, and its outcome.  Times are in monotonic nanoseconds."""
 
-    ask: Ask
+    ask: PlannedRequest
     id: str
-    number: int  # from 0
-    wait_s: float  # told to the sidecar
+    number: int  # index of the attempt among those of the request, from 0
+    wait_s: float  # time limit sent to the sidecar, in seconds
     begun_ns: int
-    port: int = 0  # of the client's end of the connection it last went out on
-    sent_ns: int = 0  # its last byte was handed over; 0: it never was
-    resent: bool = False  # on a new connection, after a close that crossed it
-    ended_ns: int = 0  # the answer's last byte, or when the client gave up; 0: not yet
-    end: str = ""  # answered, late, left, unreachable, broken, unreadable, stopped
+    port: int = 0  # client's port of the connection on which the request was last sent
+    sent_ns: int = 0  # time at which the last byte was written; 0 if not all bytes were written
+    resent: bool = False  # whether the request was sent again after a close that crossed it
+    ended_ns: int = 0  # time of the response's last byte or of the client's giving up; 0 while open
+    end: str = ""  # outcome: answered, late, left, unreachable, broken, unreadable or stopped
     status: int = 0
     body: bytes = b""
     retry_after_s: float | None = None
 
 
 @dataclass(eq=False, slots=True)
-class Asked:
-    """What somebody asked for, with all its tries."""
+class SentRequest:
+    """A client request with all its attempts."""
 
-    ask: Ask
-    due_ns: int  # when it was to be sent
-    tries: list[Try] = field(default_factory=list)
+    ask: PlannedRequest
+    due_ns: int  # scheduled time of sending
+    tries: list[RequestAttempt] = field(default_factory=list)
     over: bool = False
 
     @property
     def served(self) -> bool:
-        """Whether it got what it asked for."""
+        """Whether the last attempt got a response with status 200."""
         return bool(self.tries) and self.tries[-1].end == "answered" and self.tries[-1].status == 200
 
 
-def headers_of(ask: Ask, name: str, wait_s: float, retry: bool) -> list[HeaderField]:
-    """A request's headers, its length apart."""
+def headers_for(ask: PlannedRequest, name: str, wait_s: float, retry: bool) -> list[HeaderField]:
+    """Return a request's headers, except for its length."""
     fields: list[HeaderField] = [
         ("Host", "api.internal"),
         ("Request-Id", name),
@@ -72,28 +73,28 @@
     return fields
 
 
-def wording_of(ask: Ask, name: str, wait_s: float, retry: bool = False) -> bytes:
-    """A request's bytes; its body tells its id, so that a body that goes astray can be seen."""
+def serialize_request(ask: PlannedRequest, name: str, wait_s: float, retry: bool = False) -> bytes:
+    """Return the bytes of a request; its body contains the id, so that a misdirected body can be detected."""
     target = f"/{ask.request_class}?obj={ask.id[:8]}"
     body = b""
     if ask.unsafe:
         text = f"record {name} ".encode()
         body = text + b"r" * max(0, ask.body_bytes - len(text))
-    return write_request("POST" if ask.unsafe else "GET", target, headers_of(ask, name, wait_s, retry), body)
+    return write_request("POST" if ask.unsafe else "GET", target, headers_for(ask, name, wait_s, retry), body)
 
 
-def pause_before_next(
-    last: Try, settings: ClientSettings, rng: random.Random, now_s: float, due_s: float
+def retry_delay_s(
+    last: RequestAttempt, settings: ClientSettings, rng: random.Random, now_s: float, due_s: float
 ) -> float | None:
-    """How long to wait before another try, in seconds; None where there is to be none.
+    """Return the time to wait before another attempt, in seconds; None for no further attempt.
 
-    What is safe to repeat is tried again after any failure; what is not, only where a refusal or the lack
-    of a connection proves that it never ran.
+    An idempotent request is retried after any failure.  A non-idempotent one is retried only if a rejection
+    or a failed connect proves that the request never ran.
     """
     if last.end == "left" or last.end == "stopped" or (last.end == "answered" and last.status == 200):
         return None
-    refused = last.end == "answered" and last.status in (429, 503)
-    if last.ask.unsafe and not refused and last.end != "unreachable":
+    rejected = last.end == "answered" and last.status in (429, 503)
+    if last.ask.unsafe and not rejected and last.end != "unreachable":
         return None
     if last.number + 1 >= settings.tries:
         return None
@@ -101,78 +102,78 @@
     if settings.backoff != "none":
         growth = 2**last.number if settings.backoff == "exponential" else 1
         pause = settings.backoff_s * growth * (0.5 + rng.random())
-    if refused and last.retry_after_s is not None and rng.random() < settings.honour:
+    if rejected and last.retry_after_s is not None and rng.random() < settings.honour:
         pause = max(pause, min(last.retry_after_s, settings.honour_most_s))
     return pause if now_s + pause + SHORTEST_WAIT < due_s else None
 
 
-def says_ready(stream: Stream, deadline: float) -> bool:
-    """Ask a sidecar whether clients may come; raises `OSError`, `TaskTimeoutError`, `HttpError`."""
+def reports_ready(stream: Stream, deadline: float) -> bool:
+    """Return whether a sidecar reports ready; raises `OSError`, `TaskTimeoutError` or `HttpError`."""
     stream.send(write_request("GET", "/ready", [("Host", "api.internal")]), deadline)
     answer = Client.answer(stream, deadline, [])
     return answer is not None and answer.status == 200
 
 
 class Client:
-    """All clients beside one sidecar."""
+    """All clients beside one sidecar, with a common pool of connections."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         settings: ClientSettings,
         target: Address,
-        asks: Iterable[Ask],
+        asks: Iterable[PlannedRequest],
         seed: int = 0,
         *,
-        book: MutableSequence[Asked] | None = None,
+        records: MutableSequence[SentRequest] | None = None,
     ) -> None:
         self.scheduler, self.settings, self.target = scheduler, settings, target
         self.rng = random.Random(f"{seed}/client/{target[0]}:{target[1]}")
-        self.book: MutableSequence[Asked] = [] if book is None else book
+        self.records: MutableSequence[SentRequest] = [] if records is None else records
         self._asks = sorted(asks, key=lambda ask: (ask.at_s, ask.id))
         self._idle: list[Stream] = []
         self.linger_s = LINGER_SECONDS
-        self._held: list[Stream] = []  # asked on once
-        self._used = 0  # connections with a request on them
-        self._open: dict[str, Task] = {}  # by ask
+        self._single_use: list[Stream] = []  # connections held open after a single request
+        self._busy_count = 0  # number of connections with an open request
+        self._open_tasks: dict[str, Task] = {}  # tasks of the open requests, by request id
         self._arrivals: Task | None = None
         self.connects = 0
-        self.done = Event()  # set when the last request is over and none is to come
+        self.done = Event()  # set when the last request has ended
 
     @property
     def open(self) -> int:
-        """Requests that are not over."""
-        return len(self._open)
+        """Number of requests that have not ended."""
+        return len(self._open_tasks)
 
     @property
     def finished(self) -> bool:
-        """Whether all requests were sent and are over."""
-        return not self._open and (self._arrivals is None or self._arrivals.done)
+        """Whether all requests were sent and have ended."""
+        return not self._open_tasks and (self._arrivals is None or self._arrivals.done)
 
     def open_ids(self) -> list[str]:
-        """Ids that are in use right now."""
-        return [asked.tries[-1].id for asked in self.book if not asked.over and asked.tries]
+        """Return the ids of the open requests' current attempts."""
+        return [asked.tries[-1].id for asked in self.records if not asked.over and asked.tries]
 
     def start(self, at: float | None = None) -> None:
-        """Send each request `at_s` after a moment; without one, after the sidecar says that it is ready."""
+        """Send each request `at_s` after the time `at`, or after the sidecar is ready if `at` is None."""
         self._arrivals = self.scheduler.spawn(self._arrive, at, name="arrivals")
 
     def stop(self) -> None:
-        """Send nothing new; what is open goes on to its end."""
+        """Send no new requests; open requests continue to their end."""
         if self._arrivals is not None:
             self._arrivals.cancel()
-        if not self._open:
+        if not self._open_tasks:
             self.done.set()
 
     def close(self) -> None:
-        """Close the connections that are kept, and leave what is open."""
+        """Close the idle connections and cancel the open requests."""
         self.stop()
-        for task in list(self._open.values()):
+        for task in list(self._open_tasks.values()):
             task.cancel()
         while self._idle:
             self._idle.pop().close()
-        while self._held:
-            self._held.pop().close()
+        while self._single_use:
+            self._single_use.pop().close()
 
     # --- arrivals -------------------------------------------------------------------------------
 
@@ -186,9 +187,9 @@
         for ask in self._asks:
             if (wait := begin + ask.at_s - scheduler.now()) > 0:
                 scheduler.sleep(wait)
-            asked = Asked(ask, round((begin + ask.at_s) * 1e9))
-            self.book.append(asked)
-            self._open[ask.id] = scheduler.spawn(self._live, asked, begin + ask.at_s, name="ask")
+            asked = SentRequest(ask, round((begin + ask.at_s) * 1e9))
+            self.records.append(asked)
+            self._open_tasks[ask.id] = scheduler.spawn(self._run_request, asked, begin + ask.at_s, name="ask")
 
     def _ready(self) -> bool:
         deadline = self.scheduler.now() + CONNECT_SECONDS
@@ -197,7 +198,7 @@
         except (OSError, TaskTimeoutError):
             return False
         try:
-            return says_ready(stream, deadline)
+            return reports_ready(stream, deadline)
         except (OSError, TaskTimeoutError, HttpError):
             return False
         finally:
@@ -205,8 +206,8 @@
 
     # --- one request ----------------------------------------------------------------------------
 
-    def _live(self, asked: Asked, began: float) -> None:
-        """Try after try."""
+    def _run_request(self, asked: SentRequest, began: float) -> None:
+        """Make attempts until one succeeds or none is left."""
         ask, scheduler, settings = asked.ask, self.scheduler, self.settings
         due = began + ask.wait_s
         try:
@@ -214,36 +215,36 @@
                 number, now = len(asked.tries), scheduler.now()
                 wait = (due - now) * (settings.try_part if number + 1 < settings.tries else 1.0)
                 name = ask.id if not number else f"{ask.id}-{number}"
-                last = Try(ask, name, number, wait, scheduler.system.monotonic_ns())
+                last = RequestAttempt(ask, name, number, wait, scheduler.system.monotonic_ns())
                 asked.tries.append(last)
                 try:
-                    self._try(last, now + wait)
+                    self._attempt(last, now + wait)
                 finally:
                     last.ended_ns = scheduler.system.monotonic_ns()
                     last.end = last.end or "stopped"
-                pause = pause_before_next(last, settings, self.rng, scheduler.now(), due)
+                pause = retry_delay_s(last, settings, self.rng, scheduler.now(), due)
                 if pause is None:
                     return
                 if pause:
                     scheduler.sleep(pause)
         finally:
             asked.over = True
-            self._open.pop(ask.id, None)
+            self._open_tasks.pop(ask.id, None)
             if self.finished:
                 self.done.set()
 
-    def _try(self, entry: Try, deadline: float) -> None:
-        """One request on one connection; a second one, if the first was closed before it was read."""
+    def _attempt(self, entry: RequestAttempt, deadline: float) -> None:
+        """Make one attempt, on a second connection if the first was closed before the request was read."""
         rng, settings = self.rng, self.settings
         until = deadline
         if settings.impatient and rng.random() < settings.impatient:
             until -= (deadline - self.scheduler.now()) * rng.random()
-        data = wording_of(entry.ask, entry.id, entry.wait_s, entry.number > 0 and settings.marks_retry)
-        stream, kept = self._kept(), True
+        data = serialize_request(entry.ask, entry.id, entry.wait_s, entry.number > 0 and settings.marks_retry)
+        stream, reused = self._take_idle(), True
         while True:
             if stream is None:
-                kept = False
-                if not self._room():
+                reused = False
+                if not self._may_open():
                     entry.end = "unreachable"
                     return
                 try:
@@ -254,25 +255,25 @@
                     entry.end = "unreachable"
                     return
                 self.connects += 1
-            if not self._once(entry, stream, data, until, deadline, kept):
+            if not self._exchange(entry, stream, data, until, deadline, reused):
                 return
             entry.resent, stream = True, None
 
-    def _once(
-        self, entry: Try, stream: Stream, data: bytes, until: float, deadline: float, kept: bool
+    def _exchange(
+        self, entry: RequestAttempt, stream: Stream, data: bytes, until: float, deadline: float, reused: bool
     ) -> bool:
-        """Write the request and read its answer; true if it is to be sent once more on a new connection."""
+        """Write the request and read the response; return True if it must be resent on a new connection."""
         got: list[int] = []
         keep, sent = False, self.scheduler.now()
-        self._used += 1
+        self._busy_count += 1
         try:
             entry.port = stream.sock.getsockname()[1]
             stream.send(data, until)
             entry.sent_ns = self.scheduler.system.monotonic_ns()
             answer = self.answer(stream, until + (self.linger_s if until >= deadline else 0.0), got)
             if answer is None:
-                raise ConnectionResetError("the connection ended before the answer")
-            if self.scheduler.now() > until:  # too late to be of use
+                raise ConnectionResetError("the connection ended before the response")
+            if self.scheduler.now() > until:  # the response came after the client's deadline
                 raise TaskTimeoutError
             entry.end, entry.status, entry.body = "answered", answer.status, answer.body
             entry.retry_after_s = _seconds(answer.headers.get("retry-after"))
@@ -282,31 +283,32 @@
         except HttpError:
             entry.end = "unreadable"
         except OSError:
-            # A close that crossed the request shows within a round trip; later, it may have been read.
-            if kept and not got and self.scheduler.now() - sent < CROSSING_SECONDS:
+            # A close that crossed the request arrives within a round trip.  After that, the request may have
+            # been read.
+            if reused and not got and self.scheduler.now() - sent < CROSSING_SECONDS:
                 return True
             entry.end = "broken"
         finally:
-            self._used -= 1
+            self._busy_count -= 1
             if keep and self.settings.asks_once and self.rng.random() < self.settings.asks_once:
-                self._held.append(stream)
+                self._single_use.append(stream)
             elif keep and len(self._idle) < self.settings.idle_most:
                 self._idle.append(stream)
             else:
                 stream.close()
         return False
 
-    def _room(self) -> bool:
-        """Whether one more connection may be opened; those that the sidecar has closed make room."""
+    def _may_open(self) -> bool:
+        """Return whether another connection may be opened, after removal of those the sidecar has closed."""
         most = self.settings.most_open
-        if most and self._used + len(self._idle) + len(self._held) >= most:
-            for stream in [stream for stream in self._held if not stream.is_idle()]:
+        if most and self._busy_count + len(self._idle) + len(self._single_use) >= most:
+            for stream in [stream for stream in self._single_use if not stream.is_idle()]:
                 stream.close()
-                self._held.remove(stream)
-        return not most or self._used + len(self._idle) + len(self._held) < most
+                self._single_use.remove(stream)
+        return not most or self._busy_count + len(self._idle) + len(self._single_use) < most
 
-    def _kept(self) -> Stream | None:
-        """The connection used last, if one is kept that still stands."""
+    def _take_idle(self) -> Stream | None:
+        """Return the most recently used idle connection that is still open, or None."""
         while self._idle:
             stream = self._idle.pop()
             if stream.is_idle():
@@ -316,7 +318,7 @@
 
     @staticmethod
     def answer(stream: Stream, deadline: float, got: list[int]) -> Message | None:
-        """The whole answer; None if the connection ended before it."""
+        """Read a whole response; return None if the connection ended before the response did."""
         reader = MessageReader.responses()
         while True:
             data = stream.receive(deadline)
--- a/brambleusher/lab/stand_ins/discovery.py
+++ b/brambleusher/lab/stand_ins/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in discovery: the whole list, watches, versions, and a book of what was told to whom and when."""
+"""A stand-in discovery service with lists, watches and versions, and a log of all updates it has sent."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 import msgspec
 import orjson
 
-from brambleusher.lab.stand_ins.server import Connection, Server, Troubles
+from brambleusher.lab.stand_ins.server import ActiveFaults, Connection, Server
 from brambleusher.lab.stand_ins.settings import DiscoverySettings
 from brambleusher.net.http import Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, TaskTimeoutError
 
 READ_SECONDS = 10.0
 WRITE_SECONDS = 10.0
-CATCH_UP_SECONDS = 0.5  # after an older list
+CATCH_UP_SECONDS = 0.5  # time between an outdated list and the current one, in seconds
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 GarbageHow = Literal["noise", "half-line", "not-a-list", "bad-entry", "bad-chunk", "older"]
 
 
 class Entry(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An endpoint as listed."""
+    """A node's entry in the list."""
 
     id: str
     addr: str
@@ -38,49 +38,49 @@
     started_ms: int = 0
 
 
-# --- troubles -----------------------------------------------------------------------------------
+# --- faults -------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Down:
-    """Calls fail: refused, reset, or answered 503; watches end where the listener does."""
+    """Requests are refused, reset, or answered with 503; only with 503 do open watches continue."""
 
     how: Literal["refuse", "reset", "503"] = "refuse"
 
 
 @dataclass(eq=False, slots=True)
-class SlowCalls:
-    """Calls take so many times as long."""
+class SlowRequests:
+    """Requests take `factor` times as long."""
 
     factor: float
 
 
 @dataclass(eq=False, slots=True)
-class Silent:
-    """Watches stay open and say nothing, no empty line either; calls wait."""
+class Unresponsive:
+    """Watches stay open but send nothing, not even heartbeats; requests get no response meanwhile."""
 
 
 @dataclass(eq=False, slots=True)
 class Garbage:
-    """Each watch is told nonsense, once: at the beginning, or with its first answer while this lasts."""
+    """Each watch receives invalid data once: when the fault begins, or when a later watch opens."""
 
     how: GarbageHow
 
 
 @dataclass(eq=False, slots=True)
-class Behind:
-    """A part of the callers, by their hosts, is told changes so much later."""
+class DelayedUpdates:
+    """A fraction of the subscribers, selected by a hash of the IP address, receives changes `by_s` later."""
 
-    part: float
+    fraction: float
     by_s: float
 
 
-# --- the book -----------------------------------------------------------------------------------
+# --- the log ------------------------------------------------------------------------------------
 
 
 @dataclass(frozen=True, slots=True)
-class Telling:
-    """One list, or one change, as written to one subscriber; `at_ns`: its last byte was handed over."""
+class SentUpdate:
+    """A list or a change sent to one subscriber; `at_ns` is the time at which its last byte was written."""
 
     at_ns: int
     peer: str
@@ -88,20 +88,20 @@
     version: int
     full: bool
     entries: tuple[Entry, ...]
-    sound: bool = True  # false for nonsense, and for an older version told out of order
+    sound: bool = True  # False for invalid data and for an older version sent out of order
 
 
 @dataclass(eq=False, slots=True)
 class _Watch:
     connection: Connection
-    held: int | None
-    due: bool = False  # there is something to tell
-    fooled: Garbage | None = None  # nonsense already told
-    nonsense: Garbage | None = None  # nonsense to tell
+    version: int | None
+    due: bool = False  # whether an update is to be sent
+    sent_garbage: Garbage | None = None  # fault whose invalid data was already sent
+    due_garbage: Garbage | None = None  # fault whose invalid data is to be sent
 
 
 class Discovery(Server):
-    """One discovery service, its versions its own."""
+    """A discovery service with its own version numbers."""
 
     def __init__(
         self,
@@ -112,36 +112,36 @@
         *,
         entries: Iterable[Entry] = (),
         version: int = 1,
-        told: MutableSequence[Telling] | None = None,
+        sent_updates: MutableSequence[SentUpdate] | None = None,
         seen: Callable[[str, Entry], Entry] | None = None,
     ) -> None:
-        """`seen` has an entry as the caller from some host is to be told it."""
+        """Initialize the service; `seen` translates an entry for the subscriber at a given IP address."""
         super().__init__(scheduler, name)
         self.settings, self.rng = settings, random.Random(f"{seed}/{name}")
         self.version = version
         self._entries: dict[str, tuple[int, Entry]] = {entry.id: (version, entry) for entry in entries}
-        self._oldest = version  # changes after this version can be told
-        self._before: tuple[int, list[Entry]] | None = None  # an older list
-        self.told: MutableSequence[Telling] = [] if told is None else told
-        self.troubles = Troubles()
+        self._oldest = version  # oldest version from which changes are available
+        self._previous: tuple[int, list[Entry]] | None = None  # previous version and its list
+        self.sent_updates: MutableSequence[SentUpdate] = [] if sent_updates is None else sent_updates
+        self.active_faults = ActiveFaults()
         self._watches: dict[int, _Watch] = {}
-        self._free_at = 0.0  # when the call last taken is served
-        self.calls = self.failed = 0
+        self._free_at = 0.0  # time at which all accepted requests will have been answered
+        self.request_count = self.failed_count = 0
         self._seen = seen
 
     # --- the list -------------------------------------------------------------------------------
 
     @property
     def entries(self) -> list[Entry]:
-        """The list as it stands."""
+        """Current list of nodes."""
         return [entry for _, entry in self._entries.values() if entry.state != "Gone"]
 
     def put(self, *entries: Entry) -> None:
-        """Change entries, in one version; watches are told within `spread_s`."""
-        self._before = self.version, self.entries
+        """Change entries in one new version; watches are notified within `spread_s`."""
+        self._previous = self.version, self.entries
         self.version += 1
         for entry in entries:
-            self._entries.pop(entry.id, None)  # so that the newest stand last
+            self._entries.pop(entry.id, None)  # moves the entry to the end, in order of versions
             self._entries[entry.id] = self.version, entry
         oldest = self.version - self.settings.history
         if oldest > self._oldest:
@@ -150,63 +150,66 @@
                 if entry.state == "Gone" and version <= oldest:
                     del self._entries[name]
         for watch in self._watches.values():
-            self._call(watch, self.settings.spread_s * self.rng.random() + self._behind(watch))
+            self._notify_later(watch, self.settings.spread_s * self.rng.random() + self._extra_delay(watch))
 
-    def _behind(self, watch: _Watch) -> float:
-        share = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
-        return max((each.by_s for each in self.troubles.all(Behind) if share < each.part), default=0.0)
+    def _extra_delay(self, watch: _Watch) -> float:
+        fraction = zlib.crc32(watch.connection.peer.encode()) % 1000 / 1000
+        return max(
+            (each.by_s for each in self.active_faults.all(DelayedUpdates) if fraction < each.fraction),
+            default=0.0,
+        )
 
     def put_later(self, seconds: float, *entries: Entry) -> None:
-        """Learn of a change only after some time."""
+        """Change entries after some seconds."""
         self.scheduler.call_at(self.scheduler.now() + seconds, lambda: self.put(*entries))
 
     def changes(self, since: int | None) -> tuple[bool, list[Entry]]:
-        """Whether it is the whole list, and the entries, for one who holds some version."""
+        """Return the entries for a subscriber with a given version, and whether they are the whole list."""
         if since is None or not self._oldest <= since <= self.version:
             return True, self.entries
         return False, [entry for version, entry in self._entries.values() if version > since]
 
-    # --- switches -------------------------------------------------------------------------------
+    # --- injected faults ------------------------------------------------------------------------
 
-    def begin(self, trouble: object) -> None:
-        """Switch a trouble on."""
-        self.troubles.begin(trouble)
-        if isinstance(trouble, Down):
-            if trouble.how == "refuse":
+    def begin(self, fault: object) -> None:
+        """Activate a fault."""
+        self.active_faults.begin(fault)
+        if isinstance(fault, Down):
+            if fault.how == "refuse":
                 self.unlisten()
-            if trouble.how != "503":
+            if fault.how != "503":
                 self.drop(reset=True)
-        if isinstance(trouble, Garbage):
+        if isinstance(fault, Garbage):
             for watch in self._watches.values():
-                watch.nonsense = trouble
-                self._call(watch, 0.0)
-
-    def end(self, trouble: object) -> None:
-        """Switch it off."""
-        self.troubles.end(trouble)
-        refusing = any(each.how == "refuse" for each in self.troubles.all(Down))
-        if isinstance(trouble, Down) and not refusing and not self.listening and self.address is not None:
+                watch.due_garbage = fault
+                self._notify_later(watch, 0.0)
+
+    def end(self, fault: object) -> None:
+        """Deactivate a fault."""
+        self.active_faults.end(fault)
+        refusing = any(each.how == "refuse" for each in self.active_faults.all(Down))
+        if isinstance(fault, Down) and not refusing and not self.listening and self.address is not None:
             self.listen(self.address)
-        if isinstance(trouble, Silent) and not self.troubles.all(Silent):
+        if isinstance(fault, Unresponsive) and not self.active_faults.all(Unresponsive):
             for connection in self.connections.values():
                 connection.event.set()
 
     def retire(self, seconds: float) -> None:
-        """Accept nothing more, and close what is open after some time, as one does that was replaced."""
+        """Stop accepting connections, and close the open ones after some seconds, as when replaced."""
         self.unlisten()
         self.scheduler.call_at(self.scheduler.now() + seconds, lambda: self.drop(reset=False))
 
     # --- one connection -------------------------------------------------------------------------
 
     def serve(self, connection: Connection) -> None:
-        """Call after call, until one of them is a watch."""
+        """Serve requests until the connection ends or a request opens a watch."""
         reader = MessageReader.requests()
         while (request := self._read(connection, reader)) is not None:
             url = urlsplit(request.start[1])
             if request.start[0] != "GET" or url.path != "/v1/endpoints":
                 self._write(connection, write_response(404, [], b"not here\n"))
                 continue
-            if not self._wait(connection):
+            if not self._wait_for_turn(connection):
                 return
             query = parse_qs(url.query)
             if query.get("follow") == ["1"]:
@@ -216,7 +219,7 @@
             version, entries = self.version, tuple(self.entries)
             body = self._text(connection, version, True, entries)
             self._write(connection, write_response(200, [("Content-Type", "application/json")], body))
-            self._note(connection, version, True, entries)
+            self._log(connection, version, True, entries)
 
     def _read(self, connection: Connection, reader: MessageReader) -> Message | None:
         deadline = self.scheduler.now() + READ_SECONDS
@@ -227,13 +230,13 @@
             reader.feed(data)
         return request
 
-    def _wait(self, connection: Connection) -> bool:
-        """Wait this call's turn; false where it fails."""
+    def _wait_for_turn(self, connection: Connection) -> bool:
+        """Wait until the request is served in turn; return False if it fails."""
         settings, scheduler = self.settings, self.scheduler
-        self.calls += 1
-        down = self.troubles.last(Down)
+        self.request_count += 1
+        down = self.active_faults.last(Down)
         now = scheduler.now()
-        factor = max((each.factor for each in self.troubles.all(SlowCalls)), default=1.0)
+        factor = max((each.factor for each in self.active_faults.all(SlowRequests)), default=1.0)
         takes = (settings.call_s + settings.line_s * len(self._entries)) * factor
         ready = max(self._free_at, now) + takes
         fails = "" if down is None else down.how
@@ -243,11 +246,11 @@
             else:
                 self._free_at = ready
             scheduler.sleep(min(ready - now, settings.timeout_s))
-        while self.troubles.all(Silent):  # answered once it has found its voice again
+        while self.active_faults.all(Unresponsive):  # requests are answered once the fault ends
             scheduler.park(event=connection.event)
         if not fails:
             return True
-        self.failed += 1
+        self.failed_count += 1
         if fails == "503":
             self._write(connection, write_response(503, [], b"not now\n", keep_alive=False))
         else:
@@ -259,79 +262,81 @@
     def _watch(self, connection: Connection, since: int | None) -> None:
         watch = self._watches[connection.number] = _Watch(connection, since, due=True)
         scheduler, first = self.scheduler, True
-        watch.nonsense = self.troubles.last(Garbage)
+        watch.due_garbage = self.active_faults.last(Garbage)
         connection.stream.send(HEAD, scheduler.now() + WRITE_SECONDS)
         try:
             while True:
-                if not self.troubles.all(Silent):
-                    if watch.nonsense is not None and watch.nonsense is not watch.fooled:
-                        watch.fooled, watch.nonsense = watch.nonsense, None
-                        if not self._fool(watch, watch.fooled.how):
+                if not self.active_faults.all(Unresponsive):
+                    if watch.due_garbage is not None and watch.due_garbage is not watch.sent_garbage:
+                        watch.sent_garbage, watch.due_garbage = watch.due_garbage, None
+                        if not self._send_garbage(watch, watch.sent_garbage.how):
                             return
                     elif watch.due:
-                        self._tell(watch, first)
+                        self._send_update(watch, first)
                         first = False
                     else:
                         self._write(connection, b"1\r\n\n\r\n")
-                if self._ended(watch):
+                if self._has_disconnected(watch):
                     return
         finally:
             self._watches.pop(connection.number, None)
 
-    def _ended(self, watch: _Watch) -> bool:
-        """Wait for news or for the next empty line; true when the subscriber has left."""
+    def _has_disconnected(self, watch: _Watch) -> bool:
+        """Wait for an update or the next heartbeat; return True if the subscriber has disconnected."""
         deadline = self.scheduler.now() + self.settings.beat_s
         try:
             return watch.connection.stream.receive(deadline, watch.connection.event) == b""
         except TaskTimeoutError:
             return False
 
-    def _call(self, watch: _Watch, seconds: float) -> None:
-        def ring() -> None:
+    def _notify_later(self, watch: _Watch, seconds: float) -> None:
+        def notify() -> None:
             watch.due = True
             watch.connection.event.set()
 
         if seconds > 0:
-            self.scheduler.call_at(self.scheduler.now() + seconds, ring)
+            self.scheduler.call_at(self.scheduler.now() + seconds, notify)
         else:
-            ring()
+            notify()
 
-    def _tell(self, watch: _Watch, first: bool) -> None:
+    def _send_update(self, watch: _Watch, first: bool) -> None:
         watch.due = False
-        full, entries = self.changes(watch.held)
-        if not entries and not full and not first:  # told already, with an earlier change
+        full, entries = self.changes(watch.version)
+        if not entries and not full and not first:  # already sent with an earlier change
             return
-        version, told = self.version, tuple(entries)
-        watch.held = version
-        self._write(watch.connection, _chunk(self._text(watch.connection, version, full, told) + b"\n"))
-        self._note(watch.connection, version, full, told)
-
-    def _fool(self, watch: _Watch, how: GarbageHow) -> bool:
-        """Tell nonsense; false where it ends the watch."""
+        version, sent_entries = self.version, tuple(entries)
+        watch.version = version
+        self._write(
+            watch.connection, _chunk(self._text(watch.connection, version, full, sent_entries) + b"\n")
+        )
+        self._log(watch.connection, version, full, sent_entries)
+
+    def _send_garbage(self, watch: _Watch, how: GarbageHow) -> bool:
+        """Send invalid data; return False if it ends the watch."""
         connection, entries = watch.connection, tuple(self.entries)
         if how == "older":
-            if self._before is None:
+            if self._previous is None:
                 return True
-            # As from a replica that is behind: it catches up a little later.
-            version, before = self._before
-            self._write(connection, _chunk(self._text(connection, version, True, before) + b"\n"))
-            self._note(connection, version, True, tuple(before), sound=False)
-            watch.held, watch.due = version, False
-            self._call(watch, CATCH_UP_SECONDS)
+            # Simulates a replica that lags behind and catches up later.
+            version, previous = self._previous
+            self._write(connection, _chunk(self._text(connection, version, True, previous) + b"\n"))
+            self._log(connection, version, True, tuple(previous), sound=False)
+            watch.version, watch.due = version, False
+            self._notify_later(watch, CATCH_UP_SECONDS)
             return True
-        good = self._text(connection, self.version, True, entries)
+        valid = self._text(connection, self.version, True, entries)
         if how == "half-line":
-            self._write(connection, _chunk(good[: len(good) // 2]))
-            return False  # its end comes in the middle of the line
+            self._write(connection, _chunk(valid[: len(valid) // 2]))
+            return False  # the watch ends in the middle of a line
         if how == "bad-chunk":
-            self._write(connection, b"zz\r\n" + good + b"\r\n")
+            self._write(connection, b"zz\r\n" + valid + b"\r\n")
             return False
         if how == "noise":
             line = bytes(self.rng.choices(range(32, 127), k=80))
         elif how == "not-a-list":
             line = orjson.dumps({"version": self.version, "full": True, "servers": {"a": 1}})
         else:
-            raw = orjson.loads(good)
+            raw = orjson.loads(valid)
             raw["servers"].append({"id": "s-bad", "addr": "nowhere", "state": "Ready"})
             line = orjson.dumps(raw)
         self._write(connection, _chunk(line + b"\n"))
@@ -346,11 +351,13 @@
     def _write(self, connection: Connection, data: bytes) -> None:
         connection.stream.send(data, self.scheduler.now() + WRITE_SECONDS)
 
-    def _note(
+    def _log(
         self, connection: Connection, version: int, full: bool, entries: tuple[Entry, ...], sound: bool = True
     ) -> None:
         now = self.scheduler.system.monotonic_ns()
-        self.told.append(Telling(now, connection.peer, connection.number, version, full, entries, sound))
+        self.sent_updates.append(
+            SentUpdate(now, connection.peer, connection.number, version, full, entries, sound)
+        )
 
 
 def _text(version: int, full: bool, entries: Iterable[Entry]) -> bytes:
--- a/brambleusher/lab/stand_ins/node.py
+++ b/brambleusher/lab/stand_ins/node.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint: HTTP in front of a `Machine`, a book of what it ran, and switches for troubles."""
+"""A stand-in node: an HTTP server in front of a `Machine`, with a log of executions and injectable faults."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 import orjson
 
 from brambleusher.lab.stand_ins.machine import Job, Machine
-from brambleusher.lab.stand_ins.server import Connection, Server, Troubles
+from brambleusher.lab.stand_ins.server import ActiveFaults, Connection, Server
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.net.http import HeaderField, HttpError, Message, MessageReader, write_response
 from brambleusher.runtime.scheduler import Scheduler, Timer
 
-WORK_HEADER = "lab-work-us"  # the true work of a request, where the client's stand-in tells it
+WORK_HEADER = "lab-work-us"  # header with the true work of a request, set by stand-in clients
 WORK_UNKNOWN = 0.05
-READ_SECONDS = 10.0  # for a request that has begun
+READ_SECONDS = 10.0  # time limit for the rest of a request whose first byte has arrived, in seconds
 WRITE_SECONDS = 10.0
-AHEAD_BYTES = 128 * 1024  # read while a request is in work
-ENDLESS_PIECE, ENDLESS_SECONDS, ENDLESS_PAUSE = 16 * 1024, 20.0, 0.05
+AHEAD_BYTES = 128 * 1024  # maximum number of bytes buffered while an earlier request is processed
+ENDLESS_CHUNK_BYTES, ENDLESS_SECONDS, ENDLESS_PAUSE = 16 * 1024, 20.0, 0.05
 
-SpoiltHow = Literal[
+MalformedKind = Literal[
     "noise", "endless-head", "long-length", "negative-length", "two-lengths", "bad-chunk", "unframed",
     "endless-body", "cut-body", "second-copy", "noise-behind", "interim", "bad-report", "strange-status",
 ]  # fmt: skip
@@ -32,19 +32,19 @@
 ReportHow = Literal["absent", "noise", "negative", "huge", "idle", "not-json", "bytes"]
 
 
-# --- troubles -----------------------------------------------------------------------------------
+# --- faults -------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Slow:
-    """Work takes so many times as long."""
+    """Work takes `factor` times as long."""
 
     factor: float
 
 
 @dataclass(eq=False, slots=True)
-class SlowNow:
-    """Each n-th request takes so many times the work."""
+class SlowEveryNth:
+    """Every n-th request needs `factor` times the work."""
 
     every: int
     factor: float
@@ -52,116 +52,117 @@
 
 @dataclass(eq=False, slots=True)
 class Hung:
-    """Nothing is worked on; connections come up and requests are read all the same."""
+    """The node processes no requests, but still accepts connections and reads requests."""
 
 
 @dataclass(eq=False, slots=True)
 class Neighbour:
-    """Another program takes a share of the machine, on and off in turn."""
+    """Another program on the machine periodically uses a share of its CPU."""
 
-    share: float
+    cpu_share: float
     on_s: float
     off_s: float
 
 
 @dataclass(eq=False, slots=True)
-class Spoilt:
-    """A part of the answers is spoilt, or brings more than belongs to it."""
+class MalformedResponses:
+    """A fraction of the responses is malformed or followed by unexpected bytes."""
 
-    how: SpoiltHow
-    part: float = 1.0
+    how: MalformedKind
+    fraction: float = 1.0
 
 
 @dataclass(eq=False, slots=True)
 class Resets:
-    """A part of the requests meets a reset."""
+    """A fraction of the requests is reset."""
 
     where: ResetWhere
-    part: float = 1.0
-    runs: bool = True  # where the request has come whole, it is run
+    fraction: float = 1.0
+    runs: bool = True  # whether a request received whole is executed
 
 
 @dataclass(eq=False, slots=True)
-class CrossingClose:
-    """Idle connections are closed early: after a random time, or with the next request unread on them."""
+class EarlyClose:
+    """Idle connections are closed early: after a random time, or with the next request unread."""
 
     within_s: float
-    part: float = 1.0
+    fraction: float = 1.0
     unread: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class ReportsLate:
-    """Load reports come so much later."""
+class DelayedReports:
+    """Load reports become visible `delay_s` later."""
 
     delay_s: float
 
 
 @dataclass(eq=False, slots=True)
-class ReportsWrong:
-    """Load reports are absent or wrong."""
+class InvalidReports:
+    """Load reports are missing or invalid."""
 
     how: ReportHow
 
 
 @dataclass(eq=False, slots=True)
-class TurnsAway:
-    """A part of the requests is turned away, as with a full waiting room."""
+class RejectsRequests:
+    """A fraction of the requests is rejected, as with a full queue."""
 
-    part: float = 1.0
+    fraction: float = 1.0
     status: Literal[503, 504] = 503
 
 
-# --- the book -----------------------------------------------------------------------------------
+# --- the log ------------------------------------------------------------------------------------
 
 
 @dataclass(eq=False, slots=True)
 class Execution:
-    """A request that came whole, and what became of it.  Times are the system's monotonic nanoseconds."""
+    """A request that was received whole, and its outcome.  Times are in monotonic nanoseconds."""
 
     node: str
-    process: int  # 0 for the first process under this id, then 1, 2 ...
+    process: int  # index of the process among those started under the node's id, from 0
     connection: int
     request: str
     request_class: str
     target: str
     body_crc: int
     work_s: float
-    capacity: float  # of the machine when it came, in seconds of a standard core a second
+    capacity: float  # machine's capacity on arrival, in seconds of work on a standard core per second
     cold: bool
     came_ns: int
-    began_ns: int = 0  # 0: it was never run
-    ended_ns: int = 0  # 0: it is still here, or the process died over it
-    end: str = ""  # made, error, turned away, dropped (before it ran), stopped (while it ran), lost
-    number: int = 0  # of the answer among all this process made
-    answer: bytes = b""  # the body made for it
+    began_ns: int = 0  # start of the work; 0 if the request never ran
+    ended_ns: int = 0  # end of the request; 0 while open, or if the process exited first
+    # Outcome: "made", "error", "turned away", "dropped" (before it ran), "stopped" (while it ran) or "lost".
+    end: str = ""
+    number: int = 0  # index of the response among all responses of the process, from 1
+    answer: bytes = b""  # body of the response
 
     @property
     def ran(self) -> bool:
-        """Whether any of it was worked on."""
+        """Whether any work was done for the request."""
         return self.began_ns > 0
 
 
 @dataclass(eq=False, slots=True)
 class _Work:
-    """A request on its way through the node."""
+    """A request that the node is processing."""
 
     connection: Connection
     request: Message
     execution: Execution
-    due: float  # when its sidecar stops waiting
+    due: float  # time at which the sidecar stops waiting for the response
     job: Job | None = None
     answer: tuple[int, list[HeaderField], bytes] | None = None
-    timer: Timer | None = None  # its handshake
-    gone: bool = False
-    over: bool = field(default=False)
+    timer: Timer | None = None  # timer of the simulated handshake
+    client_gone: bool = False
+    is_finished: bool = field(default=False)
 
 
 class Node(Server):
-    """One process of an endpoint.
+    """A process of a node.
 
-    `process` counts the processes under this id; `executions` and `troubles` may be shared with the
-    ones before and after it.
+    `process` is the index of the process among those started under the node's id.  Successive processes may
+    share `executions` and `active_faults`.
     """
 
     def __init__(
@@ -174,90 +175,91 @@
         process: int = 0,
         cold: bool = False,
         executions: MutableSequence[Execution] | None = None,
-        troubles: Troubles | None = None,
+        active_faults: ActiveFaults | None = None,
     ) -> None:
         super().__init__(scheduler, name)
         self.settings, self.process = settings, process
         self.rng = random.Random(f"{seed}/{name}/{process}")
         self.machine = Machine(settings, self.rng, scheduler.now(), cold)
         self.executions: MutableSequence[Execution] = [] if executions is None else executions
-        self.troubles = Troubles() if troubles is None else troubles
+        self.active_faults = ActiveFaults() if active_faults is None else active_faults
         self.draining = False
-        self.on_fall: Callable[[], object] | None = None  # told when too much work has brought it down
-        self.answers = self.turned_away = self._taken = 0
+        self.on_fall: Callable[[], object] | None = None  # called when overload during warm-up stops the node
+        self.answers = self.rejected_count = self._request_count = 0
         self._timer: Timer | None = None
         self._timer_at = math.inf
-        self._toggles: dict[Neighbour, tuple[Timer, bool, float]] = {}  # whether it is busy, and until when
+        # For each neighbour program: its timer, whether it is busy, and the end of the current period.
+        self._neighbour_states: dict[Neighbour, tuple[Timer, bool, float]] = {}
         self._ended = False
         self.changed()
 
-    # --- switches -------------------------------------------------------------------------------
+    # --- injected faults ------------------------------------------------------------------------
 
-    def begin(self, trouble: object) -> None:
-        """Switch a trouble on."""
-        self.troubles.begin(trouble)
+    def begin(self, fault: object) -> None:
+        """Activate a fault."""
+        self.active_faults.begin(fault)
         self.changed()
 
-    def end(self, trouble: object) -> None:
-        """Switch it off."""
-        self.troubles.end(trouble)
+    def end(self, fault: object) -> None:
+        """Deactivate a fault."""
+        self.active_faults.end(fault)
         self.changed()
 
     def changed(self) -> None:
-        """Let the troubles that are on bear on the machine."""
-        slow = math.prod(each.factor for each in self.troubles.all(Slow))
-        taken = self._neighbours(self.troubles.all(Neighbour))
-        hung = bool(self.troubles.all(Hung))
-        self.machine.burden(self.scheduler.now(), slow=slow, taken=taken, hung=hung)
+        """Apply the active faults to the machine."""
+        slow = math.prod(each.factor for each in self.active_faults.all(Slow))
+        taken = self._update_neighbours(self.active_faults.all(Neighbour))
+        hung = bool(self.active_faults.all(Hung))
+        self.machine.set_capacity_loss(self.scheduler.now(), slow=slow, taken=taken, hung=hung)
         self._set_timer()
 
-    def _neighbours(self, there: list[Neighbour]) -> float:
-        """Start and stop neighbours; says what those that are busy take."""
+    def _update_neighbours(self, active: list[Neighbour]) -> float:
+        """Start and stop the neighbour programs, and return the share of the CPU that busy ones use."""
         now = self.scheduler.now()
-        for gone in [each for each in self._toggles if each not in there]:
-            self._toggles.pop(gone)[0].cancel()
-        for neighbour in there:
-            until = self._toggles[neighbour][2] if neighbour in self._toggles else now
+        for removed in [each for each in self._neighbour_states if each not in active]:
+            self._neighbour_states.pop(removed)[0].cancel()
+        for neighbour in active:
+            until = self._neighbour_states[neighbour][2] if neighbour in self._neighbour_states else now
             if until <= now:
-                on = neighbour not in self._toggles or not self._toggles[neighbour][1]
+                on = neighbour not in self._neighbour_states or not self._neighbour_states[neighbour][1]
                 until = now + max(0.001, neighbour.on_s if on else neighbour.off_s)
-                self._toggles[neighbour] = self.scheduler.call_at(until, self.changed), on, until
-        return max((each.share for each in there if self._toggles[each][1]), default=0.0)
+                self._neighbour_states[neighbour] = self.scheduler.call_at(until, self.changed), on, until
+        return max((each.cpu_share for each in active if self._neighbour_states[each][1]), default=0.0)
 
     @property
     def capacity(self) -> float:
-        """What a cold start leaves of its capacity, in seconds of a standard core a second."""
+        """Current capacity during warm-up, in seconds of work on a standard core per second."""
         self.machine.advance(self.scheduler.now())
         return self.machine.capacity
 
     @property
     def busy(self) -> int:
-        """Requests in work and waiting."""
-        return self.machine.held
+        """Number of running and queued requests."""
+        return self.machine.job_count
 
     def close(self, reset: bool = True) -> None:
-        """The process ends; what it was working on is lost."""
+        """End the process; the requests it is processing are lost."""
         self._ended = True
         if self._timer is not None:
             self._timer.cancel()
-        self._neighbours([])
+        self._update_neighbours([])
         super().close(reset)
 
     # --- one connection -------------------------------------------------------------------------
 
     def serve(self, connection: Connection) -> None:
-        """Request after request."""
-        if self._meets("accept"):
+        """Serve requests one after another."""
+        if self._draw_reset("accept"):
             self.reset(connection)
             return
         settings, rng = self.settings, self.rng
-        self._table()
+        self._apply_connection_tax()
         reader, first = MessageReader.requests(), True
         try:
             while True:
                 idle = settings.idle_s
-                crossing = self.troubles.last(CrossingClose)
-                crosses = crossing is not None and not first and rng.random() < crossing.part
+                crossing = self.active_faults.last(EarlyClose)
+                crosses = crossing is not None and not first and rng.random() < crossing.fraction
                 if crossing is not None and crosses and not crossing.unread:
                     idle = min(idle, crossing.within_s * rng.random())
                 unread = crossing is not None and crosses and crossing.unread
@@ -267,35 +269,35 @@
                 first = False
         finally:
             self.connections.pop(connection.number, None)
-            self._table()
+            self._apply_connection_tax()
 
-    def _table(self) -> None:
+    def _apply_connection_tax(self) -> None:
         tax = self.settings.full_tax * min(1.0, len(self.connections) / self.settings.connections)
-        self.machine.burden(self.scheduler.now(), tax=tax)
+        self.machine.set_capacity_loss(self.scheduler.now(), tax=tax)
         self._set_timer()
 
-    def _meets(self, where: ResetWhere) -> Resets | None:
-        """The reset that this request meets at some point, if one is on and its turn has come."""
-        for resets in self.troubles.all(Resets):
-            if resets.where == where and self.rng.random() < resets.part:
+    def _draw_reset(self, where: ResetWhere) -> Resets | None:
+        """Decide whether the request is reset at a given point, and return the active fault in that case."""
+        for resets in self.active_faults.all(Resets):
+            if resets.where == where and self.rng.random() < resets.fraction:
                 return resets
         return None
 
     def _read(
         self, connection: Connection, reader: MessageReader, idle_s: float, unread: bool
     ) -> Message | None:
-        """The next request; None if there is none and the connection is to be closed."""
+        """Read the next request; return None if the connection is to be closed."""
         scheduler, stream = self.scheduler, connection.stream
         deadline = scheduler.now() + idle_s
         while (request := reader.take()) is None:
-            if not reader.has_begun and (unread or self.troubles.all(Resets)):
+            if not reader.has_begun and (unread or self.active_faults.all(Resets)):
                 scheduler.park(deadline, stream.sock)
                 if unread and not stream.is_idle():
-                    return None  # closing with bytes unread is a reset
-                if self._meets("before"):
+                    return None  # the close with unread bytes causes a reset
+                if self._draw_reset("before"):
                     self.reset(connection)
                     return None
-                if self._meets("in"):
+                if self._draw_reset("in"):
                     stream.sock.recv(16)
                     self.reset(connection)
                     return None
@@ -308,31 +310,31 @@
         return request
 
     def _exchange(self, connection: Connection, reader: MessageReader, request: Message, first: bool) -> bool:
-        """One request and its answer; false when the connection is of no further use."""
+        """Serve one request; return False if the connection can't be used for another one."""
         stream = connection.stream
         try:
             work = self._work(connection, request)
         except HttpError as error:
             self._send(connection, write_response(error.status, [], f"{error}\n".encode()))
             return True
-        meets = self._meets("after")
-        if meets is not None and not meets.runs:
+        reset = self._draw_reset("after")
+        if reset is not None and not reset.runs:
             work.execution.end = "lost"
             self.reset(connection)
             return False
         self._begin(work, first)
-        while not work.over:
+        while not work.is_finished:
             data = stream.receive(None, connection.event) if reader.buffered < AHEAD_BYTES else None
-            if data is None and not work.over:
+            if data is None and not work.is_finished:
                 self.scheduler.park(event=connection.event)
             elif data == b"":
-                self._left(work)
+                self._handle_disconnect(work)
                 return False
             elif data:
                 reader.feed(data)
-        if work.answer is None:  # stopped: nobody is told
+        if work.answer is None:  # the work was stopped without a response
             return False
-        return self._respond(connection, work, meets)
+        return self._respond(connection, work, reset)
 
     def _work(self, connection: Connection, request: Message) -> _Work:
         headers, now_ns = request.headers, self.scheduler.system.monotonic_ns()
@@ -343,18 +345,18 @@
             seconds = float(headers.get(WORK_HEADER) or headers.get("work-hint") or WORK_UNKNOWN * 1e6) / 1e6
             wait = int(headers.get("request-timeout-ms", "0")) / 1000
         except ValueError:
-            raise HttpError(400, "a number that is none") from None
+            raise HttpError(400, "invalid number in a request header") from None
         spread = self.settings.work_noise
         seconds = max(1e-5, seconds * math.exp(spread * self.rng.gauss(0.0, 1.0) - spread * spread / 2))
-        for slow in self.troubles.all(SlowNow):
-            self._taken += 1
-            seconds *= slow.factor if self._taken % slow.every == 0 else 1.0
+        for slow in self.active_faults.all(SlowEveryNth):
+            self._request_count += 1
+            seconds *= slow.factor if self._request_count % slow.every == 0 else 1.0
         self.machine.advance(self.scheduler.now())
         execution = Execution(
             node=self.name, process=self.process, connection=connection.number, request=name,
             request_class=headers.get("request-class", ""), target=request.start[1],
             body_crc=zlib.crc32(request.body), work_s=seconds, capacity=self.machine.capacity,
-            cold=self.machine.cold, came_ns=now_ns,
+            cold=self.machine.is_cold, came_ns=now_ns,
         )  # fmt: skip
         self.executions.append(execution)
         due = self.scheduler.now() + wait if wait else math.inf
@@ -363,13 +365,15 @@
     # --- work -----------------------------------------------------------------------------------
 
     def _begin(self, work: _Work, first: bool) -> None:
-        """Turn a request away, or put it into the machine, after the handshake where there was one."""
+        """Reject a request or add it to the machine, after the handshake on a connection's first request."""
         settings, now = self.settings, self.scheduler.now()
         if first and settings.handshake_work_s:
-            self.machine.spend(settings.handshake_work_s, now)
-        turns = [each for each in self.troubles.all(TurnsAway) if self.rng.random() < each.part]
-        if turns:
-            self._turn_away(work, turns[-1].status)
+            self.machine.add_background_work(settings.handshake_work_s, now)
+        rejections = [
+            each for each in self.active_faults.all(RejectsRequests) if self.rng.random() < each.fraction
+        ]
+        if rejections:
+            self._turn_away(work, rejections[-1].status)
         elif len(self.connections) > settings.connections:
             self._turn_away(work, 503)
         elif first and settings.handshake_s:
@@ -380,10 +384,10 @@
     def _enter(self, work: _Work) -> None:
         now = self.scheduler.now()
         work.timer = None
-        if work.gone:
+        if work.client_gone:
             return
         self.machine.advance(now)
-        if (self.draining and self.settings.drain_refuses) or self.machine.full:
+        if (self.draining and self.settings.drain_refuses) or self.machine.is_full:
             self._turn_away(work, 503)
             return
 
@@ -395,7 +399,7 @@
             return True
 
         def done(at: float) -> None:
-            self._made(work, at)
+            self._complete(work, at)
 
         work.job = Job(work.execution.work_s, begun, done)
         self.machine.add(work.job, now)
@@ -403,23 +407,23 @@
         self._set_timer()
 
     def _ns(self, at: float) -> int:
-        """A moment of the scheduler's in nanoseconds, no later than now."""
+        """Convert a time of the scheduler to nanoseconds, at most the current time."""
         return min(self.scheduler.system.monotonic_ns(), round(at * 1e9))
 
     def _turn_away(self, work: _Work, status: int) -> None:
-        self.turned_away += 1
-        self.machine.refused(work.execution.work_s, self.scheduler.now())
+        self.rejected_count += 1
+        self.machine.record_rejected(work.execution.work_s, self.scheduler.now())
         work.answer = status, [("Not-Started", "1")], b"not started\n"
-        self._over(work, "turned away")
+        self._finish(work, "turned away")
         self._check_fall()
 
-    def _made(self, work: _Work, at: float) -> None:
+    def _complete(self, work: _Work, at: float) -> None:
         self.answers += 1
         execution = work.execution
         execution.number = self.answers
         if self.settings.error_rate and self.rng.random() < self.settings.error_rate:
             work.answer = 500, [], b"failed\n"
-            self._over(work, "error")
+            self._finish(work, "error")
             return
         execution.answer = orjson.dumps(
             {
@@ -429,26 +433,26 @@
             }
         )  # fmt: skip
         work.answer = 200, [("Content-Type", "application/json")], execution.answer
-        self._over(work, "made")
+        self._finish(work, "made")
 
-    def _over(self, work: _Work, end: str) -> None:
-        work.over = True
+    def _finish(self, work: _Work, end: str) -> None:
+        work.is_finished = True
         work.execution.end, work.execution.ended_ns = end, self.scheduler.system.monotonic_ns()
         work.connection.event.set()
 
-    def _left(self, work: _Work) -> None:
-        """The sidecar has given up: stop what may be stopped."""
-        work.gone = True
+    def _handle_disconnect(self, work: _Work) -> None:
+        """Stop the work of a request whose sidecar has disconnected, as far as the settings allow."""
+        work.client_gone = True
         execution, settings, job = work.execution, self.settings, work.job
         if job is None:
             if work.timer is not None:
                 work.timer.cancel()
-                self._over(work, "dropped")
+                self._finish(work, "dropped")
             return
-        if settings.cancel == "none" or (self.machine.runs(job) and settings.cancel != "all"):
+        if settings.cancel == "none" or (self.machine.is_running(job) and settings.cancel != "all"):
             return
         if self.machine.drop(job, self.scheduler.now()):
-            self._over(work, "stopped" if execution.ran else "dropped")
+            self._finish(work, "stopped" if execution.ran else "dropped")
         self._set_timer()
 
     def _check_fall(self) -> None:
@@ -465,29 +469,29 @@
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = due
-        self._timer = None if at is None else self.scheduler.call_at(at, self._turn)
+        self._timer = None if at is None else self.scheduler.call_at(at, self._on_timer)
 
-    def _turn(self) -> None:
+    def _on_timer(self) -> None:
         self._timer, self._timer_at = None, math.inf
         self.machine.advance(self.scheduler.now())
         self._set_timer()
 
     # --- answers --------------------------------------------------------------------------------
 
-    def _respond(self, connection: Connection, work: _Work, meets: Resets | None) -> bool:
+    def _respond(self, connection: Connection, work: _Work, reset: Resets | None) -> bool:
         assert work.answer is not None
         status, headers, body = work.answer
         headers = headers + self._reports()
-        if meets is not None:
+        if reset is not None:
             self.reset(connection)
             return False
-        if self._meets("answer"):
+        if self._draw_reset("answer"):
             data = write_response(status, headers, body)
             self._send(connection, data[: self.rng.randrange(1, len(data))])
             self.reset(connection)
             return False
-        spoilt = self.troubles.last(Spoilt)
-        if spoilt is not None and status == 200 and self.rng.random() < spoilt.part:
+        spoilt = self.active_faults.last(MalformedResponses)
+        if spoilt is not None and status == 200 and self.rng.random() < spoilt.fraction:
             return self._spoil(connection, spoilt.how, headers, body)
         self._send(connection, write_response(status, headers, body))
         return work.request.keep_alive
@@ -499,31 +503,33 @@
         fields = self.settings.report_fields
         if not fields:
             return []
-        wrong = self.troubles.last(ReportsWrong)
-        if wrong is not None:
-            return _wrong_report(wrong.how, fields)
+        invalid = self.active_faults.last(InvalidReports)
+        if invalid is not None:
+            return _wrong_report(invalid.how, fields)
         now = self.scheduler.now()
         self.machine.advance(now)
-        delay = sum(each.delay_s for each in self.troubles.all(ReportsLate))
+        delay = sum(each.delay_s for each in self.active_faults.all(DelayedReports))
         report = self.machine.report(now, delay)
         if report is None:
             return []
-        figures = {
+        values = {
             "throughput": round(report.throughput, 3), "utilization": round(report.utilization, 4),
             "qps": round(report.throughput, 3), "util": round(report.utilization, 4),
-            "outstanding": self.machine.held, "inflight": self.machine.held,
+            "outstanding": self.machine.job_count, "inflight": self.machine.job_count,
         }  # fmt: skip
-        return [("Server-Load", orjson.dumps({name: figures.get(name, 0) for name in fields}).decode())]
+        return [("Server-Load", orjson.dumps({name: values.get(name, 0) for name in fields}).decode())]
 
-    def _spoil(self, connection: Connection, how: SpoiltHow, headers: list[HeaderField], body: bytes) -> bool:
-        """Send an answer that is not as it should be; false once the connection is of no further use."""
-        good = write_response(200, headers, body)
+    def _spoil(
+        self, connection: Connection, how: MalformedKind, headers: list[HeaderField], body: bytes
+    ) -> bool:
+        """Send a malformed response; return False if the connection can't be used any more."""
+        valid = write_response(200, headers, body)
         if how in ("second-copy", "noise-behind"):
-            behind = good if how == "second-copy" else self.rng.randbytes(64)
-            self._send(connection, good + behind)
+            extra = valid if how == "second-copy" else self.rng.randbytes(64)
+            self._send(connection, valid + extra)
             return True
         if how == "interim":
-            self._send(connection, b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + good)
+            self._send(connection, b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + valid)
             return True
         if how == "bad-report":
             others = [each for each in headers if each[0] != "Server-Load"]
@@ -535,26 +541,26 @@
             self._endless(connection, b"X-More: " + b"m" * 1000 + b"\r\n")
         elif how == "endless-body":
             self._send(connection, (head + f"Content-Length: {3 << 30}\r\n\r\n").encode() + body)
-            self._endless(connection, b"e" * ENDLESS_PIECE)
+            self._endless(connection, b"e" * ENDLESS_CHUNK_BYTES)
         else:
             self._send(connection, _unreadable(how, head, body, self.rng))
-        # The connection stays open and is of no further use: what still comes on it is not looked at.
+        # The connection stays open but unusable, and all further bytes on it are discarded.
         while connection.stream.receive(None):
             continue
         return False
 
-    def _endless(self, connection: Connection, piece: bytes) -> None:
+    def _endless(self, connection: Connection, chunk: bytes) -> None:
         until = self.scheduler.now() + ENDLESS_SECONDS
         while self.scheduler.now() < until:
-            self._send(connection, piece)
+            self._send(connection, chunk)
             self.scheduler.sleep(ENDLESS_PAUSE)
 
 
-def _unreadable(how: SpoiltHow, head: str, body: bytes, rng: random.Random) -> bytes:
-    """The bytes of an answer that can't be read to its end.
+def _unreadable(how: MalformedKind, head: str, body: bytes, rng: random.Random) -> bytes:
+    """Return the bytes of a response that can't be parsed to its end.
 
-    A length that is too short is not among them: nobody could tell such an answer from a good one with
-    something behind it.
+    The variants don't include a Content-Length that is too small, since such a response is indistinguishable
+    from a valid one followed by extra bytes.
     """
     size = len(body)
     if how == "noise":
@@ -573,7 +579,7 @@
         return (head + f"Content-Length: {size}\r\n\r\n").encode() + body[: size // 2]
     if how == "strange-status":
         return b"HTTP/1.1 2000 FINE\r\n" + f"Content-Length: {size}\r\n\r\n".encode() + body
-    return (head + "\r\n").encode() + body  # unframed
+    return (head + "\r\n").encode() + body  # the body has no framing
 
 
 def _wrong_report(how: ReportHow, fields: tuple[str, ...]) -> list[HeaderField]:
--- a/brambleusher/lab/stand_ins/operators.py
+++ b/brambleusher/lab/stand_ins/operators.py
@@ -1,4 +1,4 @@
-"""Stand-in operators: staff who call sidecars' admin endpoints, and a front that asks whether it is ready."""
+"""Stand-in operators, who call the sidecars' admin endpoints, and a load balancer that polls `/ready`."""
 
 from __future__ import annotations
 
@@ -10,81 +10,83 @@
 from brambleusher.runtime.streams import Stream
 from brambleusher.runtime.system import Address
 
-CALL_SECONDS = 1.5  # that one waits for a yes or a no
-AGAIN_SECONDS = 0.3  # between two calls that say the same
-BACK_TRIES = 12  # of a call back: a sidecar that does not answer for so long has forgotten what was said
-FRONT_SECONDS = 0.1  # between two questions of the front
+REQUEST_SECONDS = 1.5  # timeout of a request, in seconds
+REPEAT_SECONDS = 0.3  # interval between repetitions of a request, in seconds
+# Maximum number of requests that undo an action: a sidecar unavailable for longer has restarted, and so lost
+# the action.
+MAX_UNDO_ATTEMPTS = 12
+POLL_SECONDS = 0.1  # interval between polls of `/ready`, in seconds
 
 
 @dataclass(eq=False, slots=True)
-class Called:
-    """One call, and what came back; the time is in monotonic nanoseconds."""
+class AdminCall:
+    """A request of an operator and the status of its response; the time is in monotonic nanoseconds."""
 
     address: Address
     target: str
     sent_ns: int
-    status: int = 0  # 0: nothing that could be read
+    status: int = 0  # status code; 0 without a readable response
 
 
 class Operators:
-    """Staff and front of a fleet.  Each thing that is said is a task: it outlives a sidecar's restarts."""
+    """Operators and load balancer of a fleet; each action is a task that outlives sidecar restarts."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
-        self.book: list[Called] = []
+        self.records: list[AdminCall] = []
         self._tasks: list[Task] = []
 
-    def say(self, admin: Address, out: str, back: str) -> Callable[[], None]:
-        """Call `out` again and again, as staff do who can't know what a sidecar remembers.
+    def repeat_action(self, admin: Address, out: str, back: str) -> Callable[[], None]:
+        """Request `out` repeatedly, as operators do because a restart makes a sidecar lose the action.
 
-        What is returned ends that: `back` is called then, until there is a yes.
+        The returned function ends the repetition and requests `back` until a response reports success.
         """
-        over: list[bool] = []
+        stopped: list[bool] = []
 
         def run() -> None:
-            while not over:
-                self.call(admin, "POST", out)
-                self.scheduler.sleep(AGAIN_SECONDS)
-            for _ in range(BACK_TRIES):
-                if 200 <= self.call(admin, "POST", back).status < 300:
+            while not stopped:
+                self.send_request(admin, "POST", out)
+                self.scheduler.sleep(REPEAT_SECONDS)
+            for _ in range(MAX_UNDO_ATTEMPTS):
+                if 200 <= self.send_request(admin, "POST", back).status < 300:
                     return
-                self.scheduler.sleep(AGAIN_SECONDS)
+                self.scheduler.sleep(REPEAT_SECONDS)
 
         self._tasks.append(self.scheduler.spawn(run, name=f"operators say {out}"))
-        return lambda: over.append(True)
+        return lambda: stopped.append(True)
 
-    def front(self, clients: Address) -> None:
-        """Ask at the clients' address whether clients may come, until `end`."""
+    def poll_ready(self, clients: Address) -> None:
+        """Poll `/ready` at the address for clients, until `end` is called."""
 
         def run() -> None:
             while True:
-                self.call(clients, "GET", "/ready")
-                self.scheduler.sleep(FRONT_SECONDS)
+                self.send_request(clients, "GET", "/ready")
+                self.scheduler.sleep(POLL_SECONDS)
 
         self._tasks.append(self.scheduler.spawn(run, name="front"))
 
     def end(self) -> None:
-        """Go home."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
 
-    def call(self, address: Address, method: str, target: str) -> Called:
-        """One call on a connection of its own."""
+    def send_request(self, address: Address, method: str, target: str) -> AdminCall:
+        """Send one request on a new connection."""
         scheduler = self.scheduler
-        called = Called(address, target, scheduler.system.monotonic_ns())
-        self.book.append(called)
-        until, stream = scheduler.now() + CALL_SECONDS, None
+        called = AdminCall(address, target, scheduler.system.monotonic_ns())
+        self.records.append(called)
+        until, stream = scheduler.now() + REQUEST_SECONDS, None
         try:
             stream = Stream.connect(scheduler, address, until)
             fields = [("Host", f"{address[0]}:{address[1]}"), ("Connection", "close")]
             stream.send(write_request(method, target, fields, b""), until)
             reader = MessageReader.responses()
-            while (answer := reader.take()) is None:
+            while (response := reader.take()) is None:
                 data = stream.receive(until)
                 if not data:
                     return called
                 reader.feed(data)
-            called.status = answer.status
+            called.status = response.status
         except (OSError, TaskTimeoutError, HttpError):
             pass
         finally:
--- a/brambleusher/lab/virtual/explore.py
+++ b/brambleusher/lab/virtual/explore.py
@@ -20,7 +20,7 @@
 
 from brambleusher.lab.checker import Breach, Checker, Rules
 from brambleusher.lab.checker.sums import FleetLimits, FleetTotals, NodeLimits
-from brambleusher.lab.fleets.fleet import Fleet, node_machine, world_of
+from brambleusher.lab.fleets.fleet import Fleet, empty_world, node_machine
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import Machine, ProcessLog, Tap, World
@@ -242,12 +242,12 @@
         stop_at_breach: Whether to end the run at the first breach.
         sums: Whether to compute the totals over the fleet.
     """
-    with world_of(scenario) as world, mutation or nullcontext():
+    with empty_world(scenario) as world, mutation or nullcontext():
         world.settings = replace(world.settings, output_bytes=OUTPUT_BYTES)
         rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
-        fleet.audience = checker
+        fleet.monitor = checker
         digest, logged_errors, exit_errors = Digest(), LoggedExceptions(world), ExitErrors()
         world.taps += [cast(Tap, checker), digest, exit_errors]
         totals: FleetTotals | None = None
@@ -317,20 +317,20 @@
     world = fleet.world
     world.run(fleet.ends_ns)
     ends = fleet.quiesce()
-    left_over = [text for end in ends for text in end.left_over()]
+    leaks = [text for end in ends for text in end.leaks()]
     dumped = [(sidecar, sidecar.process) for sidecar in fleet.sidecars if sidecar.up]
     fleet.dump()
     world.run(world.now_ns + DUMP_NS)
     for sidecar, process in dumped:
         # A sidecar that was restarted after the request for its dump has no capture to check.
-        if sidecar.up and sidecar.process is process and sidecar.figures.capture:
+        if sidecar.up and sidecar.process is process and sidecar.spec.capture:
             checker.captured(world.now_ns, sidecar.machine.name, sidecar.stderr)
     unreached = [
         (each.due_ns, each.ask.id)
         for each in fleet.asked
         if each.tries and all(last.end == "unreachable" for last in each.tries)
     ]
-    checker.finish(world.now_ns, left_over, unreached)
+    checker.finish(world.now_ns, leaks, unreached)
 
 
 def _to_plain_data(fault: object) -> dict[str, Any]:
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -16,16 +16,16 @@
 
 from brambleusher.lab.faults.kinds import AnyFault
 from brambleusher.lab.fleets.figures import (
-    ClassFigures,
-    NetworkFigures,
-    NodeFigures,
-    RuleFigures,
-    SidecarFigures,
-    WorldFigures,
+    ClassSpec,
+    NetworkSpec,
+    NodeSpec,
+    RuleSpec,
+    SidecarSpec,
+    WorldSpec,
 )
-from brambleusher.lab.fleets.fleet import Fleet, world_of
+from brambleusher.lab.fleets.fleet import Fleet, empty_world
 from brambleusher.lab.fleets.scenario import Scenario
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, NodeSettings
+from brambleusher.lab.stand_ins.settings import ClientSettings, NodeSettings, PlannedRequest
 from brambleusher.loadbalancing import Balancer
 from brambleusher.loadbalancing.api import Settings
 from brambleusher.loadbalancing.balancer_factory import balancer_for
@@ -36,11 +36,11 @@
 WINDOW_S = 2.0  # length of the windows in which service is counted; a new window begins every half window
 FALL_S, FALL_MULTIPLE = 2.0, 4.0
 CLASSES = (  # request classes of the lab's usual world
-    ClassFigures(name="listing-lookup", share=0.6, work_s=0.027, spread=0.5, aim_s=0.5, deadline_s=1.5,
+    ClassSpec(name="listing-lookup", share=0.6, work_s=0.027, spread=0.5, aim_s=0.5, deadline_s=1.5,
                  worth=1.0),
-    ClassFigures(name="price-check", share=0.3, work_s=0.051, spread=0.5, aim_s=0.75, deadline_s=2.0,
+    ClassSpec(name="price-check", share=0.3, work_s=0.051, spread=0.5, aim_s=0.75, deadline_s=2.0,
                  worth=5.0),
-    ClassFigures(name="transfer-record", share=0.1, work_s=0.1, spread=0.5, aim_s=1.0, deadline_s=4.0,
+    ClassSpec(name="transfer-record", share=0.1, work_s=0.1, spread=0.5, aim_s=1.0, deadline_s=4.0,
                  worth=2.0, unsafe=True),
 )  # fmt: skip
 MEAN_WORK_S = sum(each.share * each.work_s for each in CLASSES)
@@ -66,7 +66,7 @@
 def scenario_of(day: Day, seed: int) -> Scenario:
     """Draw the scenario of a day from a seed."""
     rng = random.Random(f"{seed}/zone day")  # all days of one seed have the same requests, up to their length
-    nodes: list[NodeFigures] = []
+    nodes: list[NodeSpec] = []
     for zone in ZONES:
         for at in range(day.nodes.get(zone, len(KINDS))):
             kind, cores, speed = KINDS[at % len(KINDS)]
@@ -76,43 +76,41 @@
                 report_period_s=0.5, report_delay_s=0.1, report_noise=0.03, work_noise=0.2, idle_s=10.0,
             )  # fmt: skip
             nodes.append(
-                NodeFigures(
+                NodeSpec(
                     id=f"{zone}-{at}", zone=zone, kind=kind, cell=len(nodes) // 3, weight=cores * speed,
                     settings=settings,
                 )
             )  # fmt: skip
     capacity = sum(cores * speed for _, cores, speed in KINDS) * len(ZONES)
-    world = WorldFigures(
+    world = WorldSpec(
         length_s=day.length_s,
         faults_s=max([0.001, *(fault.end_s for fault in day.faults)]),
         zones=ZONES,
         sidecars=tuple(
-            SidecarFigures(
-                name=f"n{number}", zone=ZONES[number % 4], sockets=512, memory_mb=96, capture=False
-            )
+            SidecarSpec(name=f"n{number}", zone=ZONES[number % 4], sockets=512, memory_mb=96, capture=False)
             for number in range(8)
         ),
         nodes=tuple(nodes),
         classes=CLASSES,
         requests_per_s=day.use * capacity / MEAN_WORK_S,
         silent_notice_s=day.notice_s,
-        network=NetworkFigures(),
+        network=NetworkSpec(),
         clients=ClientSettings(tries=1),
-        rules=RuleFigures(fall_s=FALL_S, fall_multiple=FALL_MULTIPLE),
+        rules=RuleSpec(fall_s=FALL_S, fall_multiple=FALL_MULTIPLE),
         operator={} if day.zones is None else {"zones": day.zones},
     )
     return Scenario(seed=seed, profile=day.name, world=world, asks=_asks(world, rng), faults=day.faults)
 
 
-def _asks(world: WorldFigures, rng: random.Random) -> tuple[Ask, ...]:
+def _asks(world: WorldSpec, rng: random.Random) -> tuple[PlannedRequest, ...]:
     """Draw random arrivals, evenly over the sidecars and over time."""
-    asks: list[Ask] = []
+    asks: list[PlannedRequest] = []
     at = 0.0
     while (at := at + rng.expovariate(world.requests_per_s)) < world.length_s - 0.05:
         cls = rng.choices(world.classes, [each.share for each in world.classes])[0]
         work = cls.draw_work(rng)
         asks.append(
-            Ask(
+            PlannedRequest(
                 id=f"{rng.getrandbits(64):016x}", at_s=round(at, 6),
                 request_class=cls.name, unsafe=cls.unsafe,
                 wait_s=cls.deadline_s, work_s=round(work, 6),
@@ -135,17 +133,17 @@
 
     def _sample(self) -> None:
         world = self._fleet.world
-        for slot in self._fleet.places:
-            node, settings = slot.node, slot.figures.settings
+        for slot in self._fleet.node_instances:
+            node, settings = slot.node, slot.spec.settings
             load = 0.0
             if node is not None and slot.up:
                 node.machine.advance(world.now_ns / SECOND)
-                load = node.machine.held / (settings.cores * settings.slots_per_core)
-            self.held[slot.figures.id] = max(self.held[slot.figures.id], load)
+                load = node.machine.job_count / (settings.cores * settings.slots_per_core)
+            self.held[slot.spec.id] = max(self.held[slot.spec.id], load)
             if load > 1.0:
-                self._since.setdefault(slot.figures.id, world.now_ns)
-            elif slot.figures.id in self._since:
-                self._end_period(slot.figures.id)
+                self._since.setdefault(slot.spec.id, world.now_ns)
+            elif slot.spec.id in self._since:
+                self._end_period(slot.spec.id)
         if world.now_ns < self._fleet.ends_ns + SECOND:
             world.after(SAMPLE_INTERVAL_NS, self._sample)
         else:
@@ -236,7 +234,7 @@
     """
     scenario = fleet.scenario
     seconds = math.ceil(scenario.world.length_s)
-    zone_of = {slot.figures.id: slot.figures.zone for slot in fleet.places}
+    zone_of = {slot.spec.id: slot.spec.zone for slot in fleet.node_instances}
     home_of = [each.zone for each in scenario.world.sidecars]
     aims = {each.name: each.aim_s for each in CLASSES}
 
@@ -279,7 +277,7 @@
         asked=asked, served=served, in_time=in_time, homes=homes, went=[dict(each) for each in went],
         crossed=crossed, over=[(name, *span) for name, spans in sampler.over.items() for span in spans],
         held=dict(sampler.held), pushed={name: work_sent(there) for name, there in arrivals.items()},
-        fallen=sum(slot.fallen for slot in fleet.places), run_twice=twice, lost=lost,
+        fallen=sum(slot.fallen for slot in fleet.node_instances), run_twice=twice, lost=lost,
     )  # fmt: skip
 
 
@@ -291,7 +289,7 @@
 ) -> DayStatistics:
     """Play the scenario of a day and a seed to its end and return its statistics."""
     scenario = scenario_of(day, seed)
-    with world_of(scenario) as world:
+    with empty_world(scenario) as world:
         fleet = Fleet(scenario, world)
         fleet.new_balancer = make
         sampler = QueueSampler(fleet)
--- a/tests/lab/test_breakages.py
+++ b/tests/lab/test_breakages.py
@@ -1,7 +1,7 @@
-"""Deliberate breakages: each is found, under the right rule, where the program as it is breaks none.
+"""The lab detects each deliberate bug under the right rule, in runs where the unmodified program breaks none.
 
-Those that few seeds tell are played from scenarios that `brambleusher explore --shrink` has written; the
-others are looked for in the first seeds.  `python -m benchmarks.breakages` has the whole table.
+Bugs that few seeds expose are replayed from scenario files written by `brambleusher explore --shrink`; the
+others must appear in the first seeds.  `python -m benchmarks.breakages` prints the whole table.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from brambleusher.lab.virtual.explore import play
 
 FILES = {path.stem: path for path in sorted((Path(__file__).parents[1] / "breakages").glob("*.yaml"))}
-LOOKED_AT = 40  # seeds, for those without a file: at least one in ten tells
+LOOKED_AT = 40  # seeds tried for a breakage without a scenario file: at least one seed in ten exposes it
 
 
 def found(name: str, scenario: Scenario) -> bool:
-    """Whether a scenario tells of a breakage, and only because of it."""
+    """Return whether a scenario breaks an expected rule with the breakage, and not without it."""
     breakage = BREAKAGES[name]
-    told = set(play(scenario, breakage.on()).rules) & set(breakage.rules)
+    told = set(play(scenario, breakage.activated()).rules) & set(breakage.rules)
     return bool(told) and not set(play(scenario).rules) & told
 
 
@@ -43,10 +43,10 @@
 
 def test_a_send_1_ms_past_the_drain_limit_is_found_to_the_nanosecond() -> None:
     scenario = read_scenario(FILES["drain-late"].read_bytes())
-    breaches = play(scenario, BREAKAGES["drain-late"].on()).breaches
+    breaches = play(scenario, BREAKAGES["drain-late"].activated()).breaches
     assert {breach.rule for breach in breaches} == {"drain"}
     late = int(breaches[0].what.split("first byte ")[1].split(" ns")[0])
-    assert 0 < late <= 2_000_000  # the limit is missed by a millisecond, and the list takes its way
+    assert 0 < late <= 2_000_000  # the delay of 1 ms, and at most 1 ms for delivery of the list
 
 
 @pytest.mark.parametrize("name", sorted(BREAKAGES))
@@ -59,18 +59,20 @@
         return put(self, owner, attribute, value)
 
     monkeypatch.setattr(Patches, "set", noted)
-    with BREAKAGES[name].on():
+    with BREAKAGES[name].activated():
         assert before and all(vars(owner)[key] is not old for (owner, key), old in before.items())
     assert all(vars(owner)[key] is old for (owner, key), old in before.items())
 
 
 @pytest.mark.parametrize("name", sorted(ALL_BREAKAGES))
 def test_patches_name_attributes_that_the_program_has(name: str) -> None:
-    with ALL_BREAKAGES[name].on():
-        pass  # a patch of an attribute that is not there raises KeyError
+    with ALL_BREAKAGES[name].activated():
+        pass  # a patch of a missing attribute raises KeyError
 
 
 def test_there_are_enough_and_each_names_its_rules() -> None:
     assert len(BREAKAGES) >= 14
     assert set(FILES) <= set(BREAKAGES)
-    assert all(each.rules and set(each.rules) <= set(RULES) and each.text for each in BREAKAGES.values())
+    assert all(
+        each.rules and set(each.rules) <= set(RULES) and each.description for each in BREAKAGES.values()
+    )
--- a/tests/lab/test_explore.py
+++ b/tests/lab/test_explore.py
@@ -15,8 +15,8 @@
 
 from brambleusher.cli import run_command
 from brambleusher.cli.explore import RunTotals, play_chunk, play_seeds
-from brambleusher.lab.faults.kinds import LEAST_KINDS, SidecarKilled
-from brambleusher.lab.fleets.figures import LEAST_REQUESTS
+from brambleusher.lab.faults.kinds import MIN_KINDS, SidecarKilled
+from brambleusher.lab.fleets.figures import MIN_REQUESTS
 from brambleusher.lab.fleets.fleet import Fleet
 from brambleusher.lab.fleets.scenario import draw_scenario, read_scenario
 from brambleusher.lab.virtual.explore import play
@@ -46,7 +46,7 @@
     broken: list[str] = []
     slow_recoveries: list[str] = []
     for result in play_chunk((range(first, first + SEEDS_PER_BLOCK), "default", None)):
-        assert result.asked >= LEAST_REQUESTS and result.virtual_s >= 5 and len(result.faults) >= LEAST_KINDS
+        assert result.asked >= MIN_REQUESTS and result.virtual_s >= 5 and len(result.faults) >= MIN_KINDS
         for breach in result.breaches[:1]:
             description = f"brambleusher explore --replay {result.seed}: {breach}"
             (slow_recoveries if breach.rule == "recovery" else broken).append(description)
@@ -163,7 +163,7 @@
     def fall(self: Fleet, system: VirtualSystem) -> None:
         raise RuntimeError("out of order")
 
-    monkeypatch.setattr(Fleet, "_submit", fall)
+    monkeypatch.setattr(Fleet, "_start_clients", fall)
     breaches = play(draw_scenario(3), stop_at_breach=True).breaches
     assert any(each.rule == "fault" and "out of order" in each.what for each in breaches)
 
@@ -172,7 +172,7 @@
     def stop(self: Fleet, system: VirtualSystem) -> None:
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(Fleet, "_submit", stop)
+    monkeypatch.setattr(Fleet, "_start_clients", stop)
     with pytest.raises(KeyboardInterrupt):
         play(draw_scenario(3))
 
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -1,4 +1,4 @@
-"""Drawn worlds and fault plans: the same for the same seed, whole in YAML, and each kind seen to work."""
+"""Drawn worlds and fault plans depend on the seed alone, survive YAML, and each fault kind takes effect."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 import pytest
 
 from brambleusher.lab.faults import kinds as faults
-from brambleusher.lab.faults.kinds import KINDS, LEAST_KINDS, PROFILES, AnyFault, Fault, draw_faults
-from brambleusher.lab.fleets.figures import LEAST_REQUESTS, Drawer, draw_world
+from brambleusher.lab.faults.kinds import KINDS, MIN_KINDS, PROFILES, AnyFault, Fault, draw_faults
+from brambleusher.lab.fleets.figures import MIN_REQUESTS, Sampler, draw_world
 from brambleusher.lab.fleets.fleet import SECOND, Fleet
 from brambleusher.lab.fleets.scenario import (
     Scenario,
@@ -35,7 +35,7 @@
 
 @pytest.fixture(autouse=True)
 def quiet() -> Any:
-    """Log lines of sidecars in trouble are not what these tests are about."""
+    """Suppress the log lines of sidecars under faults, which these tests don't check."""
     logger = logging.getLogger("brambleusher")
     before = logger.level
     logger.setLevel(logging.CRITICAL)
@@ -51,9 +51,9 @@
     for seed in SEEDS:
         scenario = draw_scenario(seed)
         world = scenario.world
-        assert sum(ask.at_s > world.faults_s for ask in scenario.asks) >= LEAST_REQUESTS
+        assert sum(ask.at_s > world.faults_s for ask in scenario.asks) >= MIN_REQUESTS
         assert world.length_s >= 5
-        assert len({fault.kind for fault in scenario.faults}) >= LEAST_KINDS
+        assert len({fault.kind for fault in scenario.faults}) >= MIN_KINDS
         assert all(0 < fault.at_s <= fault.end_s <= world.faults_s + 1e-3 for fault in scenario.faults)
         assert all(0 <= ask.at_s <= world.length_s for ask in scenario.asks)
         assert len({ask.id for ask in scenario.asks}) == len(scenario.asks)
@@ -79,7 +79,7 @@
 
 
 def test_an_unknown_profile_is_named() -> None:
-    with pytest.raises(ValueError, match=r"no profile 'nodez'; there are default, nodes"):
+    with pytest.raises(ValueError, match=r"unknown profile 'nodez'; known profiles: default, nodes"):
         draw_scenario(1, "nodez")
 
 
@@ -112,9 +112,9 @@
 
 
 def whole(seed: int = 3) -> Scenario:
-    """A scenario with a fault of every kind."""
+    """Return a scenario with a fault of every kind."""
     scenario = draw_scenario(seed)
-    draw = Drawer(seed, "all")
+    draw = Sampler(seed, "all")
     every = tuple(faults._draw_fault(of, draw, scenario.world) for of in KINDS.values())
     return msgspec.structs.replace(scenario, faults=every, asks=scenario.asks[:5])
 
@@ -135,7 +135,7 @@
         ("kind: node-slow, factor: [0-9.]+", "kind: node-slow, factor: fast", "faults[0].factor"),
         ("kind: node-slow, factor: [0-9.]+", "kind: node-slow", "missing required field `factor`"),
         ("at_s: [0-9.]+", "at_s: -1", "at_s"),
-        ("target: s-[0-9a-f]+", "target: s-nobody", "node-slow is aimed at 's-nobody'"),
+        ("target: s-[0-9a-f]+", "target: s-nobody", "node-slow is aimed at 's-nobody': unknown node"),
         ("length_s: ", "lenght_s: ", "lenght_s"),
         ("sidecar: 0", "sidecar: 9", "asks["),
         ("format: 1", "format: 2", "format"),
@@ -174,18 +174,18 @@
 NODE, SIDECAR = BASE.world.nodes[0], BASE.world.sidecars[0]
 
 
-def place(fleet: Fleet) -> Any:
-    return fleet.place(NODE.id)
+def node_instance(fleet: Fleet) -> Any:
+    return fleet.node_instance(NODE.id)
 
 
 def state(fleet: Fleet, name: str = NODE.id) -> str:
-    """As discovery lists it now."""
+    """Return the node's state as discovery currently lists it."""
     entry = fleet.discovery.list.get(name)
     return "Gone" if entry is None else entry.state
 
 
-def trouble(fleet: Fleet, kind: type[Any]) -> Any:
-    return place(fleet).troubles.last(kind)
+def active_fault(fleet: Fleet, kind: type[Any]) -> Any:
+    return node_instance(fleet).active_faults.last(kind)
 
 
 def service(fleet: Fleet) -> Any:
@@ -197,11 +197,11 @@
 
 
 def cold(node: Any) -> bool:
-    return bool(node.machine.cold)
+    return bool(node.machine.is_cold)
 
 
 def linked(fleet: Fleet, to_node: bool) -> bool:
-    node, sidecar = place(fleet).machine, fleet.sidecars[0].machine
+    node, sidecar = node_instance(fleet).machine, fleet.sidecars[0].machine
     pair = (sidecar, node) if to_node else (node, sidecar)
     return not fleet.world.network.link(*pair).down
 
@@ -209,7 +209,7 @@
 def extra(fleet: Fleet) -> int:
     machines = fleet.world.machines
     return fleet.world.network.link(
-        machines[place(fleet).machine.name], machines[fleet.sidecars[0].machine.name]
+        machines[node_instance(fleet).machine.name], machines[fleet.sidecars[0].machine.name]
     ).extra_ns
 
 
@@ -218,12 +218,12 @@
 
 
 def ends(fleet: Fleet) -> bool:
-    """Whether the sidecar has been told to end and serves its clients to the last, or has ended."""
+    """Return whether the sidecar is shutting down (it still serves open requests) or has exited."""
     return not sidecar(fleet).up or sidecar(fleet).sidecar.lifecycle.is_shutting_down
 
 
 def down(fleet: Fleet, name: str) -> bool:
-    """Nothing passes from a machine to the first sidecar."""
+    """Return whether the link from a machine to the first sidecar is partitioned."""
     machines = fleet.world.machines
     return fleet.world.network.link(machines[name], machines[SIDECAR.name]).down
 
@@ -232,51 +232,59 @@
     return dict(sidecar(fleet).sidecar.bans.bans)
 
 
-# For each kind: its parameters, what can be seen while it lasts, and what can't before and after.
+# For each kind: its parameters, and a condition that holds during the fault but not before or after it.
 CASES: dict[str, tuple[dict[str, Any], See]] = {
-    "node-slow": ({"factor": 4.0}, lambda fleet, _: place(fleet).node.machine._slow == 4.0),
-    "node-hung": ({}, lambda fleet, _: place(fleet).node.machine._hung),
-    "node-stalled": ({}, lambda fleet, _: place(fleet).process.stalled_until > fleet.world.now_ns),
-    "node-crashed": ({}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone"),
+    "node-slow": ({"factor": 4.0}, lambda fleet, _: node_instance(fleet).node.machine._slow == 4.0),
+    "node-hung": ({}, lambda fleet, _: node_instance(fleet).node.machine._hung),
+    "node-stalled": ({}, lambda fleet, _: node_instance(fleet).process.stalled_until > fleet.world.now_ns),
+    "node-crashed": ({}, lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone"),
     "node-restarted": (
-        {"drain_s": 0.5}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
+        {"drain_s": 0.5}, lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
-    "node-vanished": ({}, lambda fleet, _: place(fleet).machine.gone and state(fleet) == "Gone"),
+    "node-vanished": ({}, lambda fleet, _: node_instance(fleet).machine.gone and state(fleet) == "Gone"),
     "fleet-shrinks": (
         {"part": 0.5, "drain_s": 0.3},
-        lambda fleet, _: sum(not each.up for each in fleet.places if not each.figures.spare) >= 1,
+        lambda fleet, _: sum(not each.up for each in fleet.node_instances if not each.spec.spare) >= 1,
     ),
     "neighbour": (
-        {"share": 0.5, "on_s": 9.0, "off_s": 0.1}, lambda fleet, _: place(fleet).node.machine._taken == 0.5,
+        {"share": 0.5, "on_s": 9.0, "off_s": 0.1},
+        lambda fleet, _: node_instance(fleet).node.machine._neighbour_share == 0.5,
     ),
     "drain-told-late": (
-        {"late_s": 0.7, "drain_s": 0.3}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
+        {"late_s": 0.7, "drain_s": 0.3},
+        lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
-    "drain-taken-back": ({}, lambda fleet, _: place(fleet).up and state(fleet) == "Terminating"),
+    "drain-taken-back": ({}, lambda fleet, _: node_instance(fleet).up and state(fleet) == "Terminating"),
     "drain-flaps": ({"every_s": 0.15}, lambda fleet, _: bool(fleet.discovery.version > 8)),
     "resets": (
-        {"where": "in", "part": 1.0}, lambda fleet, _: trouble(fleet, at_node.Resets) is not None,
+        {"where": "in", "part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.Resets) is not None,
     ),
     "answers-spoilt": (
-        {"how": "noise", "part": 1.0}, lambda fleet, _: trouble(fleet, at_node.Spoilt) is not None,
+        {"how": "noise", "part": 1.0},
+        lambda fleet, _: active_fault(fleet, at_node.MalformedResponses) is not None,
     ),
-    "turning-away": ({"part": 1.0}, lambda fleet, _: trouble(fleet, at_node.TurnsAway) is not None),
-    "reports-late": ({"by_s": 1.0}, lambda fleet, _: trouble(fleet, at_node.ReportsLate) is not None),
+    "turning-away": (
+        {"part": 1.0}, lambda fleet, _: active_fault(fleet, at_node.RejectsRequests) is not None,
+    ),
+    "reports-late": ({"by_s": 1.0}, lambda fleet, _: active_fault(fleet, at_node.DelayedReports) is not None),
     "reports-wrong": (
-        {"how": "noise"}, lambda fleet, _: trouble(fleet, at_node.ReportsWrong) is not None,
+        {"how": "noise"}, lambda fleet, _: active_fault(fleet, at_node.InvalidReports) is not None,
     ),
     "close-crossing": (
-        {"within_s": 0.1, "part": 1.0}, lambda fleet, _: trouble(fleet, at_node.CrossingClose) is not None,
+        {"within_s": 0.1, "part": 1.0},
+        lambda fleet, _: active_fault(fleet, at_node.EarlyClose) is not None,
     ),
     "discovery-down": ({"how": "refuse"}, lambda fleet, _: not service(fleet).listening),
     "discovery-slow": (
-        {"factor": 9.0}, lambda fleet, _: service(fleet).troubles.last(at_discovery.SlowCalls) is not None,
+        {"factor": 9.0},
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.SlowRequests) is not None,
     ),
     "discovery-silent": (
-        {}, lambda fleet, _: service(fleet).troubles.last(at_discovery.Silent) is not None,
+        {}, lambda fleet, _: service(fleet).active_faults.last(at_discovery.Unresponsive) is not None,
     ),
     "discovery-garbage": (
-        {"how": "noise"}, lambda fleet, _: service(fleet).troubles.last(at_discovery.Garbage) is not None,
+        {"how": "noise"},
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.Garbage) is not None,
     ),
     "discovery-restarted": ({}, lambda fleet, _: dead(fleet.discovery.process)),
     "bad-clients": ({"what": "silent", "count": 30}, lambda fleet, _: fleet.bad[0].open == 30),
@@ -293,9 +301,11 @@
         {"way": "to-node"}, lambda fleet, _: not linked(fleet, True) and linked(fleet, False),
     ),
     "link-slow": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) == SECOND // 10),
-    "connects-swallowed": ({}, lambda fleet, _: place(fleet).machine.drops_connects),
+    "connects-swallowed": ({}, lambda fleet, _: node_instance(fleet).machine.drops_connects),
     "connects-refused": ({}, lambda fleet, _: bool(fleet.world.network.refusing)),
-    "zone-lost": ({}, lambda fleet, _: place(fleet).machine.gone and not fleet.places[1].machine.gone),
+    "zone-lost": (
+        {}, lambda fleet, _: node_instance(fleet).machine.gone and not fleet.node_instances[1].machine.gone,
+    ),
     "zone-cut": ({}, lambda fleet, _: not linked(fleet, True) and not linked(fleet, False)),
     "zone-flaps": ({"every_s": 1.3, "how": "cut"}, lambda fleet, _: not linked(fleet, True)),
     "zone-unreachable": (
@@ -304,10 +314,11 @@
     ),
     "zone-grey": (
         {"every": 3, "factor": 5.0, "resets": 0.1},
-        lambda fleet, _: trouble(fleet, at_node.SlowNow) is not None,
+        lambda fleet, _: active_fault(fleet, at_node.SlowEveryNth) is not None,
     ),
     "zone-drained": (
-        {"gap_s": 0.1, "drain_s": 0.3}, lambda fleet, _: not place(fleet).up and state(fleet) == "Gone",
+        {"gap_s": 0.1, "drain_s": 0.3},
+        lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
     "zone-rules-read": ({"what": "bad"}, lambda fleet, _: sidecar(fleet).operator.endswith(b"}}}")),
     "sidecar-paused": ({}, lambda fleet, _: sidecar(fleet).process.stalled_until > fleet.world.now_ns),
@@ -320,7 +331,7 @@
     ),
     "lists-differ": (
         {"part": 1.0, "by_s": 0.2},
-        lambda fleet, _: service(fleet).troubles.last(at_discovery.Behind) is not None,
+        lambda fleet, _: service(fleet).active_faults.last(at_discovery.DelayedUpdates) is not None,
     ),
     "link-jitter": ({"by_s": 0.1}, lambda fleet, _: extra(fleet) > 0),
     "node-banned": (
@@ -336,15 +347,17 @@
         ),
     ),
 }  # fmt: skip
-# What these leave behind does not go away, or they can only be seen over a while.
+# Kinds whose effects outlast the fault, or are visible only over a longer time.
 STAYING: dict[str, tuple[dict[str, Any], See]] = {
-    "node-replaced": ({}, lambda fleet, _: place(fleet).id != NODE.id and state(fleet) == "Gone"),
+    "node-replaced": ({}, lambda fleet, _: node_instance(fleet).id != NODE.id and state(fleet) == "Gone"),
     "fleet-renewed": (
         {"part": 1.0},
-        lambda fleet, _: all(each.former and cold(each.node) for each in fleet.places if each.up),
+        lambda fleet, _: all(
+            each.previous_ids and cold(each.node) for each in fleet.node_instances if each.up
+        ),
     ),
     "fleet-grows": (
-        {}, lambda fleet, _: all(each.up and cold(each.node) for each in fleet.places[-1:])
+        {}, lambda fleet, _: all(each.up and cold(each.node) for each in fleet.node_instances[-1:])
     ),
     "discovery-moved": (
         {"version": 1}, lambda fleet, _: fleet.discovery.address[0] == "10.2.0.2" and bool(
@@ -363,7 +376,7 @@
 
 
 class Resets(Tap):
-    """Counts resets at the sidecars' ends of connections."""
+    """Counts the connections to nodes whose sidecar end was reset."""
 
     def __init__(self) -> None:
         self.resets = 0
@@ -372,7 +385,7 @@
         self.resets += how == "reset" and side == "client" and conn.server.machine.startswith("node")
 
     def process(self, now: int, machine: Machine, what: str) -> None:
-        """Nothing."""
+        """Ignore process events."""
 
 
 def fault_of(kind: str, given: dict[str, Any]) -> AnyFault:
@@ -386,7 +399,7 @@
 
 
 def test_what_virtual_time_lacks_is_refused_by_name() -> None:
-    with pytest.raises(ValueError, match="link-throttled is there for real processes alone"):
+    with pytest.raises(ValueError, match="link-throttled is supported for real processes only"):
         Fleet(scenario_with(fault_of("link-throttled", {})))
 
 
@@ -410,10 +423,10 @@
         if kind in CASES and kind != "drain-flaps":
             assert not seen(fleet, tap)
         assert not fleet.running
-        assert all(each.up for each in fleet.places if not each.figures.spare)
+        assert all(each.up for each in fleet.node_instances if not each.spec.spare)
         assert all(each.up for each in fleet.sidecars)
         assert {entry.state for entry in fleet.discovery.list.values()} == {"Ready"}
-        assert len(fleet.discovery.list) >= sum(not each.figures.spare for each in fleet.places)
+        assert len(fleet.discovery.list) >= sum(not each.spec.spare for each in fleet.node_instances)
 
 
 @pytest.mark.parametrize("kind", [kind for kind, of in VIRTUAL.items() if of.targets != "none"])
@@ -424,7 +437,7 @@
         fleet.start()
         world.run(fleet.begins_ns + int((FROM_S + FOR_S + 1.5) * SECOND))
         assert not fleet.running and all(each.up for each in fleet.sidecars)
-        assert all(each.up for each in fleet.places if not each.figures.spare)
+        assert all(each.up for each in fleet.node_instances if not each.spec.spare)
 
 
 def test_two_faults_that_use_up_descriptors_end_in_the_limit_there_was() -> None:
@@ -447,7 +460,7 @@
         up = []
         for at in (0.4, 0.8, 2.7, 3.6):
             world.run(fleet.begins_ns + int(at * SECOND))
-            up.append(place(fleet).up)
+            up.append(node_instance(fleet).up)
         assert up == [True, False, False, True]
 
 
@@ -471,14 +484,14 @@
 
 
 def story(seed: int, profile: str = "default") -> str:
-    """What all books of a run say, as one digest."""
+    """Return a digest of all records of a run."""
     with (fleet := Fleet(draw_scenario(seed, profile))).world:
         ends = fleet.play()
-        left = [text for end in ends for text in end.left_over()]
+        left = [text for end in ends for text in end.leaks()]
         still = fleet.end()
         assert not still and all(each.process and each.process.ended == 0 for each in fleet.sidecars)
-        lines = [repr(each) for each in (*fleet.executions, *fleet.asked, *fleet.misdeeds)]
-        lines += [repr(each) for each in fleet.discovery.told] + left
+        lines = [repr(each) for each in (*fleet.executions, *fleet.asked, *fleet.bad_connections)]
+        lines += [repr(each) for each in fleet.discovery.sent_updates] + left
     return hashlib.sha256("\n".join(lines).encode()).hexdigest()
 
 
--- a/tests/lab/test_operators_in_virtual_time.py
+++ b/tests/lab/test_operators_in_virtual_time.py
@@ -39,7 +39,7 @@
         fleet.start()
         run.run(fleet.begins_ns + int((FROM_S + 2) * SECOND))
         assert fleet.operators is not None
-        assert {call.target for call in fleet.operators.book} == {"/ready"}
+        assert {call.target for call in fleet.operators.records} == {"/ready"}
 
 
 @pytest.mark.parametrize("where", ["the program", "the lab"])
@@ -51,7 +51,7 @@
     if where == "the program":
         monkeypatch.setattr(Balancer, "_update_admission_limit", without_end)
     else:
-        monkeypatch.setattr(Fleet, "_calm", without_end)
+        monkeypatch.setattr(Fleet, "_check_calm", without_end)
     with bounded(0.5):
         result = play(draw_scenario(1))
     ended = [breach for breach in result.breaches if breach.rule == ENDLESS]
--- a/tests/lab/test_stand_in_client.py
+++ b/tests/lab/test_stand_in_client.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: when they try again, what they do when a close crosses, and the bad ones."""
+"""Tests of the stand-in clients: retries, closes that cross a request, and misbehaving clients."""
 
 from __future__ import annotations
 
@@ -10,10 +10,15 @@
 import pytest
 
 from brambleusher.lab.stand_ins.bad_client import BAD_KINDS, BadClients, BadKind
-from brambleusher.lab.stand_ins.client import Client, Try, pause_before_next, wording_of
+from brambleusher.lab.stand_ins.client import Client, RequestAttempt, retry_delay_s, serialize_request
 from brambleusher.lab.stand_ins.discovery import Discovery, Entry
-from brambleusher.lab.stand_ins.node import Node, Resets, Spoilt, TurnsAway
-from brambleusher.lab.stand_ins.settings import Ask, ClientSettings, DiscoverySettings, NodeSettings
+from brambleusher.lab.stand_ins.node import MalformedResponses, Node, RejectsRequests, Resets
+from brambleusher.lab.stand_ins.settings import (
+    ClientSettings,
+    DiscoverySettings,
+    NodeSettings,
+    PlannedRequest,
+)
 from brambleusher.lab.virtual.network import Connection
 from brambleusher.lab.virtual.world import Tap
 from brambleusher.runtime.operating_system import RealSystem
@@ -27,8 +32,10 @@
 
 def tried(
     end: str, status: int = 0, unsafe: bool = False, number: int = 0, after: float | None = None
-) -> Try:
-    return Try(ask(unsafe=unsafe), "a1", number, 1.0, 0, end=end, status=status, retry_after_s=after)
+) -> RequestAttempt:
+    return RequestAttempt(
+        ask(unsafe=unsafe), "a1", number, 1.0, 0, end=end, status=status, retry_after_s=after
+    )
 
 
 @pytest.mark.parametrize(
@@ -38,14 +45,14 @@
         (tried("answered", 502), FIXED, 9.0, 0.05, 0.15),
         (tried("answered", 503), FIXED, 9.0, 0.05, 0.15),
         (tried("answered", 503, after=0.7), FIXED, 9.0, 0.7, 0.7),
-        (tried("answered", 503, after=60.0), FIXED, 9.0, 2.0, 2.0),  # heeded so far and no further
-        (tried("answered", 503, after=0.7), FIXED, 0.5, None, None),  # no time is left by then
+        (tried("answered", 503, after=60.0), FIXED, 9.0, 2.0, 2.0),  # the obeyed delay is bounded
+        (tried("answered", 503, after=0.7), FIXED, 0.5, None, None),  # the deadline is before the retry
         (tried("late"), FIXED, 9.0, 0.05, 0.15),
         (tried("left"), FIXED, 9.0, None, None),
         (tried("broken"), ClientSettings(backoff="none"), 9.0, 0.0, 0.0),
         (tried("broken", number=1), ClientSettings(backoff="exponential", backoff_s=0.1), 9.0, 0.1, 0.3),
         (tried("broken", number=2), FIXED, 9.0, None, None),
-        # What must not run twice: only a refusal, or the lack of a connection, proves that it has not run.
+        # Only a rejection or a failed connect proves that a non-idempotent request has not run.
         (tried("answered", 502, unsafe=True), FIXED, 9.0, None, None),
         (tried("broken", unsafe=True), FIXED, 9.0, None, None),
         (tried("late", unsafe=True), FIXED, 9.0, None, None),
@@ -54,9 +61,9 @@
     ],
 )
 def test_when_another_try_is_made(
-    last: Try, settings: ClientSettings, left: float, low: float | None, high: float | None
+    last: RequestAttempt, settings: ClientSettings, left: float, low: float | None, high: float | None
 ) -> None:
-    pause = pause_before_next(last, settings, random.Random(1), 100.0, 100.0 + left)
+    pause = retry_delay_s(last, settings, random.Random(1), 100.0, 100.0 + left)
     if low is None or high is None:
         assert pause is None
     else:
@@ -64,7 +71,7 @@
 
 
 class Wire(Tap):
-    """All that clients hand over."""
+    """Records all bytes that clients send."""
 
     def __init__(self) -> None:
         self.data = b""
@@ -73,7 +80,7 @@
         self.data += data if side == "client" else b""
 
 
-def play(lab: Lab, asks: list[Ask], **settings: Any) -> Client:
+def play(lab: Lab, asks: list[PlannedRequest], **settings: Any) -> Client:
     def build(scheduler: Scheduler) -> Client:
         client = Client(scheduler, ClientSettings(**settings), SERVER, asks, 3)
         client.start(scheduler.now())
@@ -89,8 +96,8 @@
     lab = Lab()
     node_in(lab, cores=2)
     client = play(lab, [ask(f"a{n}", at_s=0.2 * (n // 2), work_s=0.05) for n in range(8)])
-    assert client.connects == 2 and all(each.served for each in client.book)
-    assert all(0 <= each.tries[0].begun_ns - each.due_ns < 2_000_000 for each in client.book)
+    assert client.connects == 2 and all(each.served for each in client.records)
+    assert all(0 <= each.tries[0].begun_ns - each.due_ns < 2_000_000 for each in client.records)
 
 
 def test_a_close_that_crosses_is_asked_once_more() -> None:
@@ -98,14 +105,14 @@
     node = node_in(lab)
     asks = [ask("a1"), ask("a2", at_s=0.5)]
 
-    def reset_idle() -> None:  # the node's end goes away just as the second request is written
+    def reset_idle() -> None:  # the node resets the connection just as the second request is written
         for connection in list(node.connections.values()):
             node.reset(connection)
 
     lab.world.at(lab.world.now_ns + 500_200_000, lambda: node.scheduler.call_soon(reset_idle))
     client = play(lab, asks, tries=1)
-    assert [each.served for each in client.book] == [True, True]
-    assert [each.tries[0].resent for each in client.book] in ([False, True], [False, False])
+    assert [each.served for each in client.records] == [True, True]
+    assert [each.tries[0].resent for each in client.records] in ([False, True], [False, False])
 
 
 def test_a_break_that_comes_later_is_not_a_crossing() -> None:
@@ -118,36 +125,36 @@
 
     lab.world.at(lab.world.now_ns + 700_000_000, lambda: node.scheduler.call_soon(reset_busy))
     client = play(lab, [ask("a1"), ask("a2", at_s=0.5, work_s=0.5, unsafe=True)])
-    assert [(each.end, each.resent) for each in client.book[1].tries] == [("broken", False)]
+    assert [(each.end, each.resent) for each in client.records[1].tries] == [("broken", False)]
     assert [each.request for each in node.executions] == ["a1", "a2"]
 
 
 def test_refusals_are_heeded_and_late_answers_given_up() -> None:
     lab = Lab()
-    node_in(lab, TurnsAway())
-    refused = play(lab, [ask("a1")], tries=3, backoff="fixed", backoff_s=0.05).book[0]
+    node_in(lab, RejectsRequests())
+    refused = play(lab, [ask("a1")], tries=3, backoff="fixed", backoff_s=0.05).records[0]
     assert [(each.id, each.status) for each in refused.tries] == [("a1", 503), ("a1-1", 503), ("a1-2", 503)]
     lab = Lab()
     node = node_in(lab, cancel="all")
-    late = play(lab, [ask("a1", work_s=5.0, wait_s=0.5)], tries=1).book[0].tries[0]
+    late = play(lab, [ask("a1", work_s=5.0, wait_s=0.5)], tries=1).records[0].tries[0]
     assert late.end == "late" and 0.5 <= (late.ended_ns - late.begun_ns) / 1e9 < 0.62
     lab.sleep(0.1)
     assert node.executions[0].end == "stopped"
     lab = Lab()
     node_in(lab)
-    left = play(lab, [ask("a1", work_s=9.0, wait_s=3.0)], impatient=1.0).book[0].tries
+    left = play(lab, [ask("a1", work_s=9.0, wait_s=3.0)], impatient=1.0).records[0].tries
     assert [each.end for each in left] == ["left"]
     lab = Lab()
-    assert [each.end for each in play(lab, [ask("a1")], tries=2).book[0].tries] == ["unreachable"] * 2
+    assert [each.end for each in play(lab, [ask("a1")], tries=2).records[0].tries] == ["unreachable"] * 2
     lab = Lab()
-    node_in(lab, Spoilt("strange-status"))
-    assert [each.end for each in play(lab, [ask("a1")], tries=1).book[0].tries] == ["unreadable"]
+    node_in(lab, MalformedResponses("strange-status"))
+    assert [each.end for each in play(lab, [ask("a1")], tries=1).records[0].tries] == ["unreadable"]
 
 
 def test_retries_are_marked_where_so_set() -> None:
-    assert b"Client-Retry" not in wording_of(ask(), "a1-1", 1.0) and b"Client-Retry: 1\r\n" in wording_of(
-        ask(), "a1-1", 1.0, retry=True
-    )
+    assert b"Client-Retry" not in serialize_request(
+        ask(), "a1-1", 1.0
+    ) and b"Client-Retry: 1\r\n" in serialize_request(ask(), "a1-1", 1.0, retry=True)
     for marks in (False, True):
         lab = Lab()
         node = node_in(lab, Resets("after"))
@@ -162,7 +169,7 @@
 
 
 def exchange(system: System, listen: tuple[str, int]) -> list[Any]:
-    """A node, a discovery and clients in one process; what came of it, times apart."""
+    """Run a node, a discovery service and clients in one process; return the outcomes without times."""
     scheduler = Scheduler(system)
     node = Node(scheduler, NodeSettings(**{**USUAL, "report_fields": ()}), "s-1", 7)
     address = node.listen(listen)
@@ -178,7 +185,7 @@
     )
     client.start(scheduler.now())
     scheduler.run(lambda: client.finished)
-    found = [(each.tries[-1].status, json.loads(each.tries[-1].body)) for each in client.book]
+    found = [(each.tries[-1].status, json.loads(each.tries[-1].body)) for each in client.records]
     for each in (client, node, discovery):
         each.close()
     scheduler.call_at(scheduler.now() + 0.01, scheduler.stop)
@@ -191,7 +198,7 @@
     lab, ended = Lab(), []
     lab.server.start(lambda system: ended.append(exchange(system, SERVER)))
     lab.world.run(until=lambda: bool(ended))
-    # How many connections were needed on loopback depends on what else the machine does.
+    # The number of connections needed on loopback depends on the load of the machine.
     assert ended[0][:2] == exchange(RealSystem(), ("127.0.0.1", 0))[:2]
     assert ended[0][2] == 1
     assert [status for status, _ in ended[0][0]] == [200] * 6
@@ -202,7 +209,7 @@
 
 @pytest.mark.parametrize("kind", BAD_KINDS)
 def test_bad_clients_do_what_they_are_named_for(kind: BadKind) -> None:
-    """Against a node, which answers what it can read: each kind sends, gets no good answer for nonsense."""
+    """Each kind of client sends its data to a node, which runs no request hidden in a body."""
     lab = Lab()
     node = node_in(lab, cores=2)
     sample = ask("b", work_s=0.01)
@@ -215,15 +222,15 @@
     logging.getLogger("brambleusher.lab").setLevel(logging.WARNING)
     bad: BadClients = lab.start_on("client", build)
     lab.world.run(lab.world.now_ns + 10 * 10**9, lambda: not bad.open)
-    assert bad.open == 0 and [each.kind for each in bad.book] == [kind] * 2
-    for deed in bad.book:
+    assert bad.open == 0 and [each.kind for each in bad.records] == [kind] * 2
+    for deed in bad.records:
         assert deed.opened_ns and deed.ended_ns > deed.opened_ns and deed.port
         assert deed.end in ("closed", "reset", "left", "stayed")
         assert (deed.sent_ns > 0) == (kind != "silent") or (kind, deed.end) == ("huge-body", "reset")
     ran = {each.request for each in node.executions}
-    assert not any(deed.hidden in ran for deed in bad.book)
-    good = {name for deed in bad.book for name in deed.ids}
+    assert not any(deed.hidden in ran for deed in bad.records)
+    good = {name for deed in bad.records for name in deed.ids}
     if kind in ("pipelining", "ask-and-stay", "slow-writing", "slow-reading", "again-at-once", "leaving"):
         assert good and good == ran
     if kind == "both-framings":
-        assert all(deed.hidden for deed in bad.book)
+        assert all(deed.hidden for deed in bad.records)
--- a/tests/lab/test_stand_in_discovery.py
+++ b/tests/lab/test_stand_in_discovery.py
@@ -1,4 +1,4 @@
-"""The stand-in discovery over a virtual network: lists, watches, what was told when, each switch."""
+"""Tests of the stand-in discovery over a virtual network: lists, watches, the log, and each fault."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 WATCH = "/v1/endpoints?follow=1"
 
 
-def discovery_in(lab: Lab, *troubles: object, version: int = 7, **settings: Any) -> Discovery:
+def discovery_in(lab: Lab, *faults: object, version: int = 7, **settings: Any) -> Discovery:
     def build(scheduler: Scheduler) -> Discovery:
         made = Discovery(scheduler, DiscoverySettings(**settings), entries=ENTRIES, version=version)
         made.listen(SERVER)
-        for trouble in troubles:
-            made.begin(trouble)
+        for fault in faults:
+            made.begin(fault)
         return made
 
     made: Discovery = lab.start_on("server", build)
@@ -39,7 +39,7 @@
 def watch(
     lab: Lab, target: str = WATCH, seconds: float = 5.0, meanwhile: Callable[[], object] = lambda: None
 ) -> tuple[list[tuple[float, bytes]], str]:
-    """Lines with the seconds after the call at which they came, and how it ended."""
+    """Open a watch; return its lines with their arrival times in seconds, and the way in which it ended."""
     lines: list[tuple[float, bytes]] = []
 
     def task(scheduler: Scheduler) -> str:
@@ -85,8 +85,10 @@
         (f"{WATCH}&since=7", (9, False, CHANGED)),
         (f"{WATCH}&since=8", (9, False, CHANGED[1:])),
         (f"{WATCH}&since=9", (9, False, [])),
-        (f"{WATCH}&since=6", (9, True, [("a", "Ready"), ("b", "Terminating")])),  # too far back
-        (f"{WATCH}&since=10", (9, True, [("a", "Ready"), ("b", "Terminating")])),  # another discovery's
+        # Version 6 is older than the available history.
+        (f"{WATCH}&since=6", (9, True, [("a", "Ready"), ("b", "Terminating")])),
+        # Version 10 must come from another discovery service.
+        (f"{WATCH}&since=10", (9, True, [("a", "Ready"), ("b", "Terminating")])),
         (f"{WATCH}&since=x", (9, True, [("a", "Ready"), ("b", "Terminating")])),
         ("/v1/endpoints", (9, True, [("a", "Ready"), ("b", "Terminating")])),
     ],
@@ -121,7 +123,7 @@
     assert told == CHANGED
     gaps = [after - before for (before, _), (after, _) in itertools.pairwise(lines)]
     assert max(gaps) <= 2.05
-    book = discovery.told
+    book = discovery.sent_updates
     assert book[0].version == 7 and book[-1].version == 9
     assert all(each.peer == "10.0.0.2" and each.sound for each in book)
     assert 0 <= book[-1].at_ns - (book[0].at_ns + 2_900_000_000) < 300_000_000
@@ -130,7 +132,7 @@
 def test_calls_wait_their_turn_and_fail() -> None:
     for fails_by, how in (("503", "503"), ("reset", "ConnectionResetError")):
         lab = Lab()
-        discovery_in(lab, at_discovery.SlowCalls(50.0), call_s=0.1, timeout_s=3.0, fails_by=fails_by)
+        discovery_in(lab, at_discovery.SlowRequests(50.0), call_s=0.1, timeout_s=3.0, fails_by=fails_by)
         assert watch(lab) == ([], how)
     lab = Lab()
     discovery_in(lab, call_s=0.5, line_s=0.0)
@@ -155,12 +157,12 @@
 )
 def test_down(down: Any, how: str) -> None:
     lab = Lab()
-    trouble = at_discovery.Down(down)
-    discovery = discovery_in(lab, trouble)
+    fault = at_discovery.Down(down)
+    discovery = discovery_in(lab, fault)
     assert watch(lab) == ([], how)
-    lab.call_on(discovery.scheduler, lambda: discovery.end(trouble))
+    lab.call_on(discovery.scheduler, lambda: discovery.end(fault))
     lab.sleep(0.01)
-    lab.world.after(500_000_000, lambda: discovery.scheduler.call_soon(lambda: discovery.begin(trouble)))
+    lab.world.after(500_000_000, lambda: discovery.scheduler.call_soon(lambda: discovery.begin(fault)))
     lines, ended = watch(lab, seconds=1.0)
     assert update(lines[0][1]) == (7, True, ALL)
     assert ended == ("silence" if down == "503" else "ConnectionResetError")
@@ -168,12 +170,12 @@
 
 def test_silent() -> None:
     lab = Lab()
-    trouble = at_discovery.Silent()
+    fault = at_discovery.Unresponsive()
     discovery = discovery_in(lab)
     call = discovery.scheduler.call_soon
-    lab.world.after(500_000_000, lambda: call(lambda: discovery.begin(trouble)))
+    lab.world.after(500_000_000, lambda: call(lambda: discovery.begin(fault)))
     lab.world.after(600_000_000, lambda: call(lambda: discovery.put(DRAINS)))
-    lab.world.after(4_000_000_000, lambda: call(lambda: discovery.end(trouble)))
+    lab.world.after(4_000_000_000, lambda: call(lambda: discovery.end(fault)))
     lines, _ = watch(lab, seconds=5.0)
     assert [at for at, _ in lines] == [0.0, 4.0] and update(lines[1][1])[2] == CHANGED[:1]
 
@@ -188,14 +190,15 @@
     lines, ended = watch(lab, seconds=3.0)
     bad = [line for at, line in lines if at >= 0.5 and line]
     if how == "older":
-        assert [update(line)[:2] for line in bad] == [(7, True), (8, False)]  # and what has changed since
-        assert [each.sound for each in discovery.told] == [True, True, False, True]
+        # The watch receives the outdated list, then the change since its version.
+        assert [update(line)[:2] for line in bad] == [(7, True), (8, False)]
+        assert [each.sound for each in discovery.sent_updates] == [True, True, False, True]
     elif how in ("half-line", "bad-chunk"):
         assert not bad and ended == ("cut in a line" if how == "half-line" else "HttpError")
     else:
         with pytest.raises((ValueError, EndpointListError)):
             decode_update(json.loads(bad[0]))
-        assert len(bad) == 1 and ended == "silence"  # told once
+        assert len(bad) == 1 and ended == "silence"  # the invalid data is sent only once
 
 
 def test_one_that_was_replaced_retires() -> None:
--- a/tests/lab/test_stand_in_node.py
+++ b/tests/lab/test_stand_in_node.py
@@ -1,4 +1,4 @@
-"""The stand-in node over a virtual network: what it answers, what it ran, and each switch."""
+"""Tests of the stand-in node over a virtual network: responses, executions, and each fault."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import pytest
 
 from brambleusher.lab.stand_ins import node as at_node
-from brambleusher.lab.stand_ins.client import wording_of
-from brambleusher.lab.stand_ins.node import Execution, Node, ReportHow, SpoiltHow
+from brambleusher.lab.stand_ins.client import serialize_request
+from brambleusher.lab.stand_ins.node import Execution, MalformedKind, Node, ReportHow
 from brambleusher.lab.stand_ins.settings import NodeSettings
 from brambleusher.net.http import HttpError, Message, MessageReader
 from brambleusher.net.upstream_responses import parse_load_report
@@ -25,11 +25,11 @@
 }  # fmt: skip
 
 
-def node_in(lab: Lab, *troubles: object, **settings: Any) -> Node:
+def node_in(lab: Lab, *faults: object, **settings: Any) -> Node:
     def build(scheduler: Scheduler) -> Node:
         node = Node(scheduler, NodeSettings(**{**USUAL, **settings}), "s-1", 7)
-        for trouble in troubles:
-            node.begin(trouble)
+        for fault in faults:
+            node.begin(fault)
         node.listen(SERVER)
         return node
 
@@ -38,7 +38,7 @@
 
 
 def request(name: str = "r1", wait: float = 5.0, **given: Any) -> bytes:
-    return wording_of(ask(name, **given), name, wait)
+    return serialize_request(ask(name, **given), name, wait)
 
 
 def answers(data: bytes) -> list[Message]:
@@ -167,15 +167,15 @@
         assert answers(lab.send_raw(request())[0])[0].status == status
 
 
-# --- switches -------------------------------------------------------------------------------------
+# --- faults ---------------------------------------------------------------------------------------
 
 READABLE = {"second-copy", "noise-behind", "interim", "bad-report"}
 
 
-@pytest.mark.parametrize("how", get_args(SpoiltHow))
-def test_spoilt_answers(how: SpoiltHow) -> None:
+@pytest.mark.parametrize("how", get_args(MalformedKind))
+def test_spoilt_answers(how: MalformedKind) -> None:
     lab = Lab()
-    node = node_in(lab, at_node.Spoilt(how), report_fields=())
+    node = node_in(lab, at_node.MalformedResponses(how), report_fields=())
     got, ended = lab.send_raw(request(), wait=1.0)
     reader = MessageReader.responses()
     reader.feed(got)
@@ -188,7 +188,7 @@
         assert (how == "bad-report") == ("server-load" in found[0].headers)
     else:
         assert not found and ended == "silence" and got
-    assert made_by(node) == [("r1", "made", True)]  # it has run all the same
+    assert made_by(node) == [("r1", "made", True)]  # the request runs despite the malformed response
 
 
 @pytest.mark.parametrize(
@@ -208,17 +208,17 @@
     got, ended = lab.send_raw(request())
     assert ended in ("ConnectionResetError", "BrokenPipeError") and not answers(got)
     assert made_by(node) == came
-    # A reset may overtake what was sent before it; where it does not, a part of the answer has come.
+    # A reset may overtake the bytes sent before it; otherwise part of the response has arrived.
     assert not got or some
 
 
 def test_closes_that_cross() -> None:
     lab = Lab()
-    node = node_in(lab, at_node.CrossingClose(0.1))
+    node = node_in(lab, at_node.EarlyClose(0.1))
     got, ended = lab.send_raw(request(), wait=1.0)
     assert len(answers(got)) == 1 and ended == "end"
     lab = Lab()
-    node = node_in(lab, at_node.CrossingClose(0.1, unread=True))
+    node = node_in(lab, at_node.EarlyClose(0.1, unread=True))
     got, ended = lab.send_raw(request("r2"), request("r3"), pause=0.5)
     assert [json.loads(each.body)["request"] for each in answers(got)] == ["r2"]
     assert ended == "ConnectionResetError" and [each.request for each in node.executions] == ["r2"]
@@ -242,13 +242,14 @@
             lab.call_on(node.scheduler, partial(node.begin, after))
     lab.send_raw(request("r4", work_s=0.4), wait=0.6)
     took = timed(node)
-    # r3: 0.1 done by 0.2, 0.2 by 0.3, 0.3 by 0.5, all by 0.6; the neighbour has come a moment earlier.
+    # The work done for r3 is 0.1 s by 0.2 s, 0.2 s by 0.3 s, 0.3 s by 0.5 s and 0.4 s by 0.6 s.  The neighbor
+    # program started slightly before r3.
     assert took[0] == 0.4 and took[1] >= 1.0 and took[2] in (0.5, 0.6) and took[3] == 0.4
 
 
 def test_turning_away() -> None:
     lab = Lab()
-    node = node_in(lab, at_node.TurnsAway(status=504))
+    node = node_in(lab, at_node.RejectsRequests(status=504))
     answer = answers(lab.send_raw(request())[0])[0]
     assert (answer.status, answer.headers["not-started"]) == (504, "1")
     assert made_by(node) == [("r1", "turned away", False)]
@@ -266,12 +267,12 @@
     told = loads(lab)
     report = parse_load_report(told[-1])
     assert report is not None and report.utilisation is not None and 0.05 < report.utilisation < 0.4
-    lab.call_on(node.scheduler, lambda: node.begin(at_node.ReportsLate(60.0)))
+    lab.call_on(node.scheduler, lambda: node.begin(at_node.DelayedReports(60.0)))
     assert loads(lab) == [None] * 4
     readable = {"negative", "huge", "idle"}
     for how in get_args(ReportHow):
         lab = Lab()
-        node_in(lab, at_node.ReportsWrong(how), **usual)
+        node_in(lab, at_node.InvalidReports(how), **usual)
         last = loads(lab)[-1]
         assert (last is None) == (how == "absent")
         if how in readable:
