--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -280,8 +280,8 @@
     outcome.relay_p99_ms = max(_p99(stage.system.epoll.rounds), _p99(stage.network.late)) * 1000
     outcome.rig_cpu_s, outcome.wall_s = stage.cpu_s, stage.measured_s
     outcome.opened = stage.network.count
-    for place in fleet.real_places:
-        for process in place.all_processes:
+    for instance in fleet.process_instances:
+        for process in instance.all_processes:
             process.record_usage()
             outcome.sidecar_cpu_s += process.cpu_s
             outcome.sidecar_mb = max(outcome.sidecar_mb, process.rss_kb / 1024)
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -36,10 +36,12 @@
 class SidecarProcess:
     """One sidecar process, from its start to its end."""
 
-    def __init__(self, place: RealSidecarPlace, command: list[str], environment: dict[str, str]) -> None:
-        self.place, stage = place, place.stage
+    def __init__(
+        self, instance: ProcessSidecarInstance, command: list[str], environment: dict[str, str]
+    ) -> None:
+        self.instance, stage = instance, instance.stage
         self.stage = stage
-        self.log = stage.folder / f"{place.spec.name}.{place.starts}.log"
+        self.log = stage.folder / f"{instance.spec.name}.{instance.starts}.log"
         with open(self.log, "wb") as log:
             self._popen = subprocess.Popen(
                 command, env={**os.environ, **environment}, stdin=subprocess.DEVNULL, stdout=log, stderr=log,
@@ -52,7 +54,7 @@
         self._stops = 0
         self._killed = False
         self._fd = os.pidfd_open(self.pid)
-        stage.notify_taps("process", place.machine, "started")
+        stage.notify_taps("process", instance.machine, "started")
         stage.scheduler.spawn(self._wait, name="sidecar's end")
 
     def fileno(self) -> int:
@@ -71,10 +73,10 @@
         if self.ended is not None:
             return
         self.ended = self._popen.wait()
-        self.place.process_ended(self)
+        self.instance.process_ended(self)
         if not self._killed:
             what = "killed" if self.ended < 0 else "exited"
-            self.stage.notify_taps("process", self.place.machine, what)
+            self.stage.notify_taps("process", self.instance.machine, what)
 
     @property
     def dead(self) -> bool:
@@ -135,8 +137,8 @@
             self.kill()
             return
         if number == signal.SIGHUP:
-            self.place.write_files()
-        self.stage.notify_taps("process", self.place.machine, f"signal {int(number)}")
+            self.instance.write_files()
+        self.stage.notify_taps("process", self.instance.machine, f"signal {int(number)}")
         self._popen.send_signal(number)
 
     def kill(self, reset: bool = False) -> None:
@@ -144,7 +146,7 @@
         if self.dead:
             return
         self.record_usage()
-        self.stage.notify_taps("process", self.place.machine, "killed")
+        self.stage.notify_taps("process", self.instance.machine, "killed")
         self._killed = True
         self._popen.kill()
         self._record_end()
@@ -154,10 +156,10 @@
         self._stops += 1 if on else -1
         if not self.dead and (self._stops == 1 if on else self._stops == 0):
             self._popen.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
-            self.place.paused(on)
+            self.instance.paused(on)
 
 
-class RealSidecarPlace(SidecarInstance):
+class ProcessSidecarInstance(SidecarInstance):
     """The machine, the files and the real process of one sidecar."""
 
     fleet: RealFleet
@@ -277,7 +279,10 @@
 
     def _addresses_seen(self, address: Address) -> list[Address]:
         network = self._fleet.stage.network
-        return [network.reachable_address(place.machine_on_rig, address) for place in self._fleet.real_places]
+        return [
+            network.reachable_address(instance.machine_on_rig, address)
+            for instance in self._fleet.process_instances
+        ]
 
     def discovery(self, address: Address) -> None:
         """Report the discovery at the address that each sidecar has for it."""
@@ -301,16 +306,18 @@
     ) -> None:
         self.stage, self.breakage = stage, breakage
         super().__init__(scenario, stage, monitor)
-        self._by_ip = {place.machine_on_rig.ip: place.machine_on_rig for place in self.real_places}
+        self._by_ip = {
+            instance.machine_on_rig.ip: instance.machine_on_rig for instance in self.process_instances
+        }
 
     @property
-    def real_places(self) -> list[RealSidecarPlace]:
-        """The places of all sidecars."""
-        return [place for place in self.sidecars if isinstance(place, RealSidecarPlace)]
+    def process_instances(self) -> list[ProcessSidecarInstance]:
+        """Instances of all sidecars."""
+        return [instance for instance in self.sidecars if isinstance(instance, ProcessSidecarInstance)]
 
     def new_sidecar(self, number: int, spec: SidecarSpec) -> SidecarInstance:
-        """Return a new place for a sidecar with a real process."""
-        return RealSidecarPlace(self, number, spec)
+        """Return a new sidecar instance with a real process."""
+        return ProcessSidecarInstance(self, number, spec)
 
     def seen_by(self, ip: str, entry: Entry) -> Entry:
         """Return a node's entry with the address at which the sidecar at `ip` reaches the node."""
@@ -327,8 +334,8 @@
             RuntimeError: A sidecar is not ready in time.
         """
         limit = self.stage.now_ns + int(READY_TIMEOUT_SECONDS * 1e9)
-        if not self.stage.run(limit, lambda: all(place.ready for place in self.real_places)):
-            late = [place.spec.name for place in self.real_places if not place.ready]
+        if not self.stage.run(limit, lambda: all(instance.ready for instance in self.process_instances)):
+            late = [instance.spec.name for instance in self.process_instances if not instance.ready]
             raise RuntimeError(f"sidecars not ready within {READY_TIMEOUT_SECONDS:g} s: {', '.join(late)}")
         length = self.ends_ns - self.begins_ns
         self.begins_ns = self.stage.now_ns + 200_000_000
@@ -338,8 +345,8 @@
     def close(self) -> None:
         """Send SIGTERM to all sidecars, and SIGKILL to those that still run some seconds later."""
         self.end(TERMINATION_TIMEOUT_SECONDS)
-        for place in self.real_places:
-            for process in place.all_processes:
+        for instance in self.process_instances:
+            for process in instance.all_processes:
                 process.kill()
 
 
--- a/brambleusher/lab/processes/watch.py
+++ b/brambleusher/lab/processes/watch.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from brambleusher.lab.checker.sums import SECOND, Curve
-from brambleusher.lab.processes.fleet import RealFleet, RealSidecarPlace, SidecarProcess
+from brambleusher.lab.processes.fleet import ProcessSidecarInstance, RealFleet, SidecarProcess
 
 SAMPLE_INTERVAL_NS = SECOND  # the time in nanoseconds between two samples of one process
 
@@ -15,22 +15,22 @@
 
     def __init__(self, fleet: RealFleet) -> None:
         self._stage, self._start = fleet.stage, fleet.stage.now_ns
-        places = fleet.real_places
-        least_mb = float(min(place.spec.memory_mb for place in places))
+        instances = fleet.process_instances
+        least_mb = float(min(instance.spec.memory_mb for instance in instances))
         self.memory = Curve("MB", "resident memory of the largest sidecar", least_mb)
         self.descriptors = Curve("descriptors", "of those that a sidecar may open, at the fullest", 1.0)
-        for number, place in enumerate(places):
-            self._stage.after(number * SAMPLE_INTERVAL_NS // len(places), partial(self._sample, place))
+        for number, instance in enumerate(instances):
+            self._stage.after(number * SAMPLE_INTERVAL_NS // len(instances), partial(self._sample, instance))
 
     @property
     def curves(self) -> tuple[Curve, ...]:
         """The curves of memory and of descriptors."""
         return self.memory, self.descriptors
 
-    def _sample(self, place: RealSidecarPlace) -> None:
-        process = place.process
+    def _sample(self, instance: ProcessSidecarInstance) -> None:
+        process = instance.process
         if isinstance(process, SidecarProcess) and not process.dead:
             step = (self._stage.now_ns - self._start) // SECOND
             self.memory.raise_to(step, process.resident_mb)
-            self.descriptors.raise_to(step, process.descriptors / place.spec.sockets)
-        self._stage.after(SAMPLE_INTERVAL_NS, partial(self._sample, place))
+            self.descriptors.raise_to(step, process.descriptors / instance.spec.sockets)
+        self._stage.after(SAMPLE_INTERVAL_NS, partial(self._sample, instance))
