--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -74,7 +74,7 @@
 
 
 def quantile(values: Iterable[float], fraction: float = 0.95) -> float:
-    """Return the quantile of `figures` at the fraction `part`."""
+    """Return the quantile of `values` at `fraction`, which lies between 0 and 1."""
     ordered = sorted(values)
     return ordered[min(int(len(ordered) * fraction), len(ordered) - 1)]
 
--- a/benchmarks/ring.py
+++ b/benchmarks/ring.py
@@ -43,10 +43,10 @@
         used.clear()
         ticks.clear()
         with mock.patch.object(Balancer, "_on_timer", counted):
-            figures = run(cell_of(seed)).figures
+            metrics = run(cell_of(seed)).figures
         nodes = WorldFile().world_spec(60).nodes
         for zone in ticks:
-            loads = {node.id: figures[f"load.node.{node.id}"] for node in nodes if node.zone == zone}
+            loads = {node.id: metrics[f"load.node.{node.id}"] for node in nodes if node.zone == zone}
             for name, load in loads.items():
                 fraction = used[zone][name] / ticks[zone]
                 print(f"{seed:<6}{zone:<12}{name:<12}{fraction:>28.0%}{load / sum(loads.values()):>20.1%}")
--- a/brambleusher/lab/collection.py
+++ b/brambleusher/lab/collection.py
@@ -1,4 +1,4 @@
-"""Python's collector of cycles, put off while a rig or a run must not stand still."""
+"""Postpones Python's cyclic garbage collection while a test rig or a run must not pause."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def put_off() -> None:
-    """What there is now is left alone by the collector, and what comes is looked at rarely."""
+    """Exclude all existing objects from collection, and collect new objects rarely."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(100_000, 50, 1000)
@@ -16,10 +16,10 @@
 
 @contextmanager
 def uncollected() -> Iterator[None]:
-    """It is put off for a while.
+    """Postpone collections until the context exits.
 
-    Guards against a rig that stands still: with thousands of relays one collection takes longer than an
-    answer may be late.
+    Prevents pauses of the test rig: with thousands of relays one collection takes longer than the time by
+    which an answer may be late.
     """
     before = gc.get_threshold()
     put_off()
--- a/brambleusher/lab/processes/real_fleet.py
+++ b/brambleusher/lab/processes/real_fleet.py
@@ -104,7 +104,7 @@
     ) -> None:
         """`executions` collects what nodes execute; by default only the latest executions are kept."""
         self.scheduler, self.world, self.folder = scheduler, world, folder
-        self.figures: WorldSpec = world.world_spec()
+        self.spec: WorldSpec = world.world_spec()
         self.seed = world.seed if seed is None else seed
         self.executions: MutableSequence[Execution] = (
             deque(maxlen=EXECUTIONS_MAX) if executions is None else executions
@@ -119,33 +119,33 @@
     def start(self) -> None:
         """Start the nodes, discovery and the sidecar processes; raises `OSError`."""
         entries = []
-        for figures in self.figures.nodes:
-            if not figures.spare:
-                entries.append(self._start_node(figures))
+        for spec in self.spec.nodes:
+            if not spec.spare:
+                entries.append(self._start_node(spec))
         self.discovery = Discovery(
-            self.scheduler, self.figures.discovery, "discovery", self.seed, entries=entries,
+            self.scheduler, self.spec.discovery, "discovery", self.seed, entries=entries,
             sent_updates=deque(maxlen=1000),
         )  # fmt: skip
         where = self.discovery.listen((LOOPBACK, 0))
-        for number, sidecar in enumerate(self.figures.sidecars):
+        for number, sidecar in enumerate(self.spec.sidecars):
             self._start_sidecar(number, sidecar.name, sidecar.zone, where, entries)
 
-    def _start_node(self, figures: NodeSpec) -> Entry:
-        node = Node(self.scheduler, figures.settings, figures.id, self.seed, executions=self.executions)
+    def _start_node(self, spec: NodeSpec) -> Entry:
+        node = Node(self.scheduler, spec.settings, spec.id, self.seed, executions=self.executions)
         host, port = node.listen((LOOPBACK, 0))
         entry = Entry(
-            id=figures.id, addr=f"{host}:{port}", zone=figures.zone, kind=figures.kind, cell=figures.cell,
-            weight=figures.weight,
+            id=spec.id, addr=f"{host}:{port}", zone=spec.zone, kind=spec.kind, cell=spec.cell,
+            weight=spec.weight,
         )  # fmt: skip
 
         def record_fall() -> None:
-            self.fallen.add(figures.id)
+            self.fallen.add(spec.id)
             if self.discovery is not None:
                 final_entry = msgspec.structs.replace(entry, state="Gone")
-                self.discovery.put_later(self.figures.silent_notice_s, final_entry)
+                self.discovery.put_later(self.spec.silent_notice_s, final_entry)
 
         node.on_fall = record_fall
-        self.nodes.append((figures, node))
+        self.nodes.append((spec, node))
         return entry
 
     def _start_sidecar(
@@ -160,9 +160,7 @@
         )
         self.sidecars.append(sidecar)
         seed = random.Random(f"{self.seed}/sidecar {number}").getrandbits(63)
-        sidecar.config.write_bytes(
-            configuration(self.figures, number, (LOOPBACK, 0), discovery, seed, known, 1)
-        )
+        sidecar.config.write_bytes(configuration(self.spec, number, (LOOPBACK, 0), discovery, seed, known, 1))
         operator = {"figures": {"target": target, "flush_ms": 500, "format": "statsd"}}
         path = self.folder / f"{name}.operator.yaml"
         path.write_text(yaml.safe_dump(operator))
@@ -258,9 +256,9 @@
                 for each in self.sidecars
             ],
             "nodes": [
-                {"id": figures.id, "zone": figures.zone, "kind": figures.kind,
+                {"id": spec.id, "zone": spec.zone, "kind": spec.kind,
                  "address": format_address(node.address) if node.address else None}
-                for figures, node in self.nodes
+                for spec, node in self.nodes
             ],
             "discovery": format_address(self.discovery.address)
             if self.discovery is not None and self.discovery.address is not None
--- a/brambleusher/lab/processes/up.py
+++ b/brambleusher/lab/processes/up.py
@@ -115,7 +115,7 @@
         while not over():
             step()
             shown.update(table(fleet, before), refresh=True)
-            before = {figures.id: node.answers for figures, node in fleet.nodes}
+            before = {spec.id: node.answers for spec, node in fleet.nodes}
 
 
 def table(fleet: RealFleet, before: dict[str, int]) -> RenderableType:
@@ -141,11 +141,11 @@
     nodes = Table("node", "zone", "kind", "state")
     for title in ("held", "connections", "answers", "a second", "turned away"):
         nodes.add_column(title, justify="right")
-    for figures, node in fleet.nodes:
-        state = "fallen" if figures.id in fleet.fallen else "draining" if node.draining else "ready"
-        rate = (node.answers - before.get(figures.id, node.answers)) / REFRESH_SECONDS
+    for spec, node in fleet.nodes:
+        state = "fallen" if spec.id in fleet.fallen else "draining" if node.draining else "ready"
+        rate = (node.answers - before.get(spec.id, node.answers)) / REFRESH_SECONDS
         nodes.add_row(
-            figures.id, figures.zone, figures.kind, state, f"{node.busy}", f"{len(node.connections)}",
+            spec.id, spec.zone, spec.kind, state, f"{node.busy}", f"{len(node.connections)}",
             f"{node.answers:,}", f"{rate:,.0f}", f"{node.rejected_count:,}",
         )  # fmt: skip
     return Group(sidecars, nodes)
--- a/brambleusher/lab/virtual/zone_days.py
+++ b/brambleusher/lab/virtual/zone_days.py
@@ -158,7 +158,7 @@
 
 @dataclass
 class DayStatistics:
-    """Statistics of a day: counts per second and figures per node, as plain data."""
+    """Statistics of a day: counts per second and metrics per node, as plain data."""
 
     asked: dict[str, list[int]]  # number of requests in each second, by class
     served: dict[str, list[int]]
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -1350,13 +1350,13 @@
 # --- captures -------------------------------------------------------------------------------------
 
 
-def report_rules(traffic: Traffic, *figures: float | None) -> list[str]:
-    """Return the broken rules if a capture has these figures while the answer reported 0.5 and 14."""
+def report_rules(traffic: Traffic, *metrics: float | None) -> list[str]:
+    """Return the broken rules if a capture has these metrics while the answer reported 0.5 and 14."""
     conn = traffic.send_request(cls="look")
     claim, body = traffic.send_attempt(cls="look"), traffic.execute()
     traffic.node_answers(claim, "200 OK", body, Server_Load='{"util":0.5,"qps":14}')
     traffic.answer(conn, 200, body)
-    end = {"server": A, "status": "ok", "report": list(figures) or None}
+    end = {"server": A, "status": "ok", "report": list(metrics) or None}
     return check_capture(traffic, {"t_ns": 1, "ev": "attempt", "id": "r1", "in": end, "out": []})
 
 
@@ -1368,16 +1368,16 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "figures"),
+    ("text", "metrics"),
     [
         ('{"util":0.61,"qps":7}', (0.61, 7.0)), ('{"utilization":1,"throughput":2.5}', (1.0, 2.5)),
         ('{"util":-1,"qps":true}', (None, None)), ("[1]", (None, None)), ("q7!", (None, None)),
         ('{"qps":1e999}', (None, None)), ('{"util":0}', (0.0, None)), (None, None),
     ],
 )  # fmt: skip
-def test_load_reports(text: str | None, figures: object) -> None:
+def test_load_reports(text: str | None, metrics: object) -> None:
     headers = [] if text is None else [("server-load", text)]
-    assert load_report(Message("HTTP/1.1 200 OK", headers, 0)) == figures
+    assert load_report(Message("HTTP/1.1 200 OK", headers, 0)) == metrics
 
 
 def check_capture(traffic: Traffic, *records: dict[str, Any]) -> list[str]:
--- a/tests/lab/test_lab_experiments.py
+++ b/tests/lab/test_lab_experiments.py
@@ -150,8 +150,8 @@
         assert len(rules) > 20 and not any(rules.values())
         assert any("node-crashed" in text for _, text in store.result(cells[0].id).events)
         assert any("is Gone" in text for _, text in store.result(cells[0].id).events)
-        figures = store.metrics(cells[0].id)
-        assert figures["requests"] == len(list(cells[0].requests())) and 0.5 < figures["share.served"] <= 1
+        metrics = store.metrics(cells[0].id)
+        assert metrics["requests"] == len(list(cells[0].requests())) and 0.5 < metrics["share.served"] <= 1
         # The page must be well-formed and load nothing from elsewhere.
         text = render_report(store)
         parser = PageParser()
--- a/tests/lab/test_overload_states.py
+++ b/tests/lab/test_overload_states.py
@@ -63,9 +63,9 @@
     return tuple(made)
 
 
-def play(figures: WorldSpec, faults: tuple[AnyFault, ...], seed: int) -> tuple[float, float, Fleet]:
+def play(spec: WorldSpec, faults: tuple[AnyFault, ...], seed: int) -> tuple[float, float, Fleet]:
     """Return the fractions of requests served during the faults, without the first 0.5 s, and after them."""
-    scenario = Scenario(seed=seed, world=figures, asks=asks(seed), faults=faults)
+    scenario = Scenario(seed=seed, world=spec, asks=asks(seed), faults=faults)
     with (fleet := Fleet(scenario)).world as at:
 
         def look() -> None:
@@ -120,5 +120,5 @@
 
 def test_the_scenarios_are_plain_data() -> None:
     """The scenarios survive conversion to built-in types, so the lab's command can read and run them."""
-    figures = world(ClientSettings(asks_once=0.5, most_open=9))
-    assert msgspec.convert(msgspec.to_builtins(figures), WorldSpec) == figures
+    spec = world(ClientSettings(asks_once=0.5, most_open=9))
+    assert msgspec.convert(msgspec.to_builtins(spec), WorldSpec) == spec
