--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -76,7 +76,7 @@
     """Partition each pair, in one direction only with `one_way`; the returned function undoes this."""
     network = fleet.world.network
     for one, other in pairs:
-        network.cut(one, other, one_way)
+        network.partition(one, other, one_way)
 
     def repair() -> None:
         for one, other in pairs:
@@ -88,7 +88,7 @@
 def _add_latency(fleet: BaseFleet, pairs: MachinePairs, by_s: float) -> None:
     """Add `by_s` of latency between the machines of each pair; 0 removes the added latency."""
     for one, other in pairs:
-        fleet.world.network.slow_link(one, other, int(by_s * SECOND))
+        fleet.world.network.set_link_latency(one, other, int(by_s * SECOND))
 
 
 def _fault_rng(fault: faults.Fault, fleet: BaseFleet) -> random.Random:
@@ -812,7 +812,7 @@
 def _connects_refused(fault: faults.ConnectsRefused, fleet: BaseFleet) -> EndAction:
     network, targets = fleet.world.network, _target_nodes(fault, fleet)
     for instance in targets:
-        network.refuse(instance.machine, instance.address[1])
+        network.refuse_connects(instance.machine, instance.address[1])
 
     def end() -> None:
         for instance in targets:
--- a/brambleusher/lab/fleets/fleet.py
+++ b/brambleusher/lab/fleets/fleet.py
@@ -238,7 +238,7 @@
 
     def start(self, cold: bool = True) -> None:
         """Start a process, unless one is running or a reason prevents the start."""
-        if self.stop_reasons or self.up or self.fallen or self.machine.gone:
+        if self.stop_reasons or self.up or self.fallen or self.machine.has_vanished:
             return
         number, fleet = self.processes, self.fleet
         self.processes += 1
@@ -299,13 +299,13 @@
     def vanish(self, why: object) -> None:
         """Cut the power of the machine for a given reason."""
         self.power_cut_reasons.append(why)
-        if not self.machine.gone:
+        if not self.machine.has_vanished:
             self.machine.vanish()
 
     def come_back(self, why: object) -> None:
         """Remove a reason for the power cut; if none is left, restore power and start the process."""
         self.power_cut_reasons = [each for each in self.power_cut_reasons if each is not why]
-        if not self.power_cut_reasons and self.machine.gone:
+        if not self.power_cut_reasons and self.machine.has_vanished:
             self.machine.come_back()
             self.start()
 
--- a/brambleusher/lab/fleets/stage.py
+++ b/brambleusher/lab/fleets/stage.py
@@ -51,7 +51,7 @@
         """IP address of the machine."""
 
     @property
-    def gone(self) -> bool:
+    def has_vanished(self) -> bool:
         """Whether the machine has lost power."""
 
     def address(self, port: int) -> Address:
@@ -93,13 +93,13 @@
     def connections(self, machine: Any) -> Sequence[Wire]:
         """Return the connections that the process on a machine has accepted."""
 
-    def cut(self, a: Any, b: Any, one_way: bool = False) -> None:
+    def partition(self, a: Any, b: Any, one_way: bool = False) -> None:
         """Partition the network from `a` to `b`, and in the other direction too unless `one_way`."""
 
     def heal(self, a: Any, b: Any, one_way: bool = False) -> None:
         """Repair a partition, and deliver the data sent during the partition."""
 
-    def slow_link(self, a: Any, b: Any, extra_ns: int) -> None:
+    def set_link_latency(self, a: Any, b: Any, extra_ns: int) -> None:
         """Add `extra_ns` of latency in both directions; 0 removes the added latency."""
 
     def throttle(self, a: Any, b: Any, bytes_per_s: float) -> None:
@@ -109,12 +109,12 @@
         """Stop all data on a connection, with both ends left open."""
 
     def stop_blackholing(self, connection: Any) -> None:
-        """Resume the data on a silenced connection."""
+        """Resume the data on a blackholed connection."""
 
     def reset(self, connection: Any) -> None:
         """Reset both ends of a connection."""
 
-    def refuse(self, machine: Any, port: int) -> None:
+    def refuse_connects(self, machine: Any, port: int) -> None:
         """Refuse new connections to a port, although a process listens on it."""
 
     def stop_refusing(self, machine: Any, port: int) -> None:
--- a/brambleusher/lab/mysql/replay.py
+++ b/brambleusher/lab/mysql/replay.py
@@ -671,10 +671,10 @@
     def _event(self, kind: str, at: int, seconds: float) -> None:
         self.injected_faults[kind] += 1
         machine, process, after = self.machines[at], self.processes[at], int(seconds * SECOND)
-        if kind == "crash" and not process.dead and not machine.gone:
+        if kind == "crash" and not process.dead and not machine.has_vanished:
             process.kill(reset=True)
             self.world.after(after, lambda: self._restart(at))
-        elif kind == "vanish" and not machine.gone:
+        elif kind == "vanish" and not machine.has_vanished:
             machine.vanish()
             self.world.after(after, lambda: self._reconnect(at))
         elif kind == "drain":
@@ -684,7 +684,7 @@
             machine.stall(after)
 
     def _restart(self, at: int) -> None:
-        if self.processes[at].dead and not self.machines[at].gone:
+        if self.processes[at].dead and not self.machines[at].has_vanished:
             self._start_node(at)
 
     def _reconnect(self, at: int) -> None:
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -155,7 +155,7 @@
 
     def __init__(self, number: int, client: End, server: End, relay: Relay) -> None:
         self.id, self.client, self.server, self.relay = number, client, server, relay
-        self.silent = False
+        self.blackholed = False
 
 
 class _Direction:
@@ -293,8 +293,8 @@
         """Whether a fault blocks this direction now."""
         route = self.route
         return (
-            direction.link.partitioned or self.conn.silent or self.severed or route.server.gone
-            or route.client.gone or route.server.stand_ins_paused or route.client.stand_ins_paused
+            direction.link.partitioned or self.conn.blackholed or self.severed or route.server.has_vanished
+            or route.client.has_vanished or route.server.stand_ins_paused or route.client.stand_ins_paused
         )  # fmt: skip
 
     def _deliver(self, direction: _Direction, data: bytes) -> None:
@@ -545,7 +545,7 @@
         """Return whether connects succeed ("up"), are refused ("refuse") or stay unanswered ("swallow")."""
         client, server = route.client, route.server
         partitioned = self.link(client, server).partitioned or self.link(server, client).partitioned
-        if partitioned or server.gone or client.gone or server.drops_connects:
+        if partitioned or server.has_vanished or client.has_vanished or server.drops_connects:
             return "swallow"
         if self._refusing[server.name, route.port] or route.target not in self._listening:
             return "refuse"
@@ -586,15 +586,15 @@
             self.link(*pair).partitioned = partitioned
         self.stage.call_soon_once(self.update)
 
-    def cut(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
+    def partition(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
         """Block all bytes from `a` to `b`, and those from `b` to `a` unless `one_way` is set."""
         self._set_partitioned(a, b, one_way, True)
 
     def heal(self, a: RealMachine, b: RealMachine, one_way: bool = False) -> None:
-        """End a block between `a` and `b`; bytes held back are then forwarded."""
+        """End a partition between `a` and `b`; the bytes sent during the partition are then forwarded."""
         self._set_partitioned(a, b, one_way, False)
 
-    def slow_link(self, a: RealMachine, b: RealMachine, extra_ns: int) -> None:
+    def set_link_latency(self, a: RealMachine, b: RealMachine, extra_ns: int) -> None:
         """Add a delay in nanoseconds to both directions between `a` and `b`; 0 removes it."""
         self.link(a, b).extra_ns = self.link(b, a).extra_ns = extra_ns
 
@@ -604,18 +604,18 @@
 
     def blackhole(self, connection: RelayedConnection) -> None:
         """Block both directions of a connection without closing it."""
-        connection.silent = True
+        connection.blackholed = True
 
     def stop_blackholing(self, connection: RelayedConnection) -> None:
-        """Unblock a connection that was silenced."""
-        connection.silent = False
+        """Unblock both directions of a connection."""
+        connection.blackholed = False
         self.stage.call_soon_once(self.update)
 
     def reset(self, connection: RelayedConnection) -> None:
         """Reset a connection towards both ends."""
         connection.relay.reset()
 
-    def refuse(self, machine: RealMachine, port: int) -> None:
+    def refuse_connects(self, machine: RealMachine, port: int) -> None:
         """Refuse new connections to a machine's port."""
         _, named = self._ports.get((machine.ip, port), (machine, port))
         self._refusing[machine.name, named] += 1
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -62,7 +62,7 @@
 
     def __init__(self, stage: RealStage, name: str, ip: str, runs_sidecar: bool) -> None:
         self.stage, self.name, self.ip, self.runs_sidecar = stage, name, ip, runs_sidecar
-        self.gone = self.drops_connects = self.descriptors_limited = False
+        self.has_vanished = self.drops_connects = self.descriptors_limited = False
         self.stand_ins_paused = (
             False  # whether its stand-ins are paused while the kernel still accepts connections
         )
@@ -89,7 +89,7 @@
         self, build: Callable[[Scheduler], object], name: str = "", descriptors: int | None = None
     ) -> StandIn:
         """Build and start a stand-in on this machine."""
-        if self.gone:
+        if self.has_vanished:
             raise RuntimeError(f"{self.name} has vanished")
         stand_in = StandIn(build(self.stage.scheduler))
         self._stand_ins = [each for each in self._stand_ins if not each.dead]
@@ -114,14 +114,14 @@
 
     def vanish(self) -> None:
         """Simulate a loss of power: connections lead nowhere, and all stand-ins end."""
-        self.gone = True
+        self.has_vanished = True
         self.stage.network.power_off(self)
         for each in self._stand_ins:
             each.kill(reset=True)
 
     def come_back(self) -> None:
         """Restore the power, without any process running."""
-        self.gone = False
+        self.has_vanished = False
         self.stage.network.power_on(self)
 
     def shift_wall(self, by_ns: int) -> None:
--- a/brambleusher/lab/virtual/network.py
+++ b/brambleusher/lab/virtual/network.py
@@ -78,7 +78,7 @@
 class Link:
     """One direction of the path between two machines."""
 
-    __slots__ = ("_random", "cut", "down", "extra_ns", "from_", "jitter_ns", "latency_ns", "to")
+    __slots__ = ("_random", "down", "extra_ns", "from_", "jitter_ns", "latency_ns", "partitioned", "to")
 
     def __init__(self, world: World, from_: Machine, to: Machine) -> None:
         self.from_, self.to = from_, to
@@ -92,13 +92,13 @@
         self.jitter_ns = min(settings.jitter_ns, self.latency_ns) if from_ is to else settings.jitter_ns
         self.extra_ns = 0
         self._random = rng.random
-        self.cut = False
+        self.partitioned = False
         self.down = False
         self.update_down()
 
     def update_down(self) -> None:
         """Recompute whether the link is down."""
-        self.down = self.cut or self.from_.gone or self.to.gone
+        self.down = self.partitioned or self.from_.has_vanished or self.to.has_vanished
 
     def delay(self) -> int:
         """Draw the transmission delay of the next bytes, in nanoseconds."""
@@ -860,7 +860,7 @@
         client, conn = self.peer, self.conn
         if client is None or conn is None:
             return
-        if self.machine.gone:
+        if self.machine.has_vanished:
             self.state = State.CLOSE
         elif client.link.down or conn.blackholed:  # type: ignore[union-attr]
             self._retry_ack(listener, tries)
@@ -911,16 +911,16 @@
 
     # --- faults ---------------------------------------------------------------------------------
 
-    def cut(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
+    def partition(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
         """Drop everything sent from `a` to `b`, and from `b` to `a` unless `one_way`, without any notice."""
-        self._set_cut(a, b, one_way, True)
+        self._set_partitioned(a, b, one_way, True)
 
     def heal(self, a: Machine | str, b: Machine | str, one_way: bool = False) -> None:
-        """End a cut; bytes sent during the cut arrive after a delay set by TCP's retransmission timers."""
-        self._set_cut(a, b, one_way, False)
+        """End a partition; bytes sent during it arrive after a delay set by TCP's retransmission timers."""
+        self._set_partitioned(a, b, one_way, False)
         self.retransmit_undelivered()
 
-    def slow_link(self, a: Machine | str, b: Machine | str, extra_ns: int) -> None:
+    def set_link_latency(self, a: Machine | str, b: Machine | str, extra_ns: int) -> None:
         """Add `extra_ns` to the latency of both directions; 0 ends the fault."""
         one, other = self._machine(a), self._machine(b)
         for link in (self.link(one, other), self.link(other, one)):
@@ -945,7 +945,7 @@
             if end is not None and end.state != State.CLOSE:
                 end.handle_reset()
 
-    def refuse(self, machine: Machine | str, port: int) -> None:
+    def refuse_connects(self, machine: Machine | str, port: int) -> None:
         """Refuse connects to a port, even if a process listens there."""
         self.refusing[self._machine(machine).name, port] = None
 
@@ -997,10 +997,10 @@
         self._connections += 1
         return Connection(self._connections, client, server, self.world.now_ns)
 
-    def _set_cut(self, a: Machine | str, b: Machine | str, one_way: bool, cut: bool) -> None:
+    def _set_partitioned(self, a: Machine | str, b: Machine | str, one_way: bool, partitioned: bool) -> None:
         one, other = self._machine(a), self._machine(b)
         for link in (self.link(one, other),) if one_way else (self.link(one, other), self.link(other, one)):
-            link.cut = cut
+            link.partitioned = partitioned
             link.update_down()
 
     def _machine(self, which: Machine | str) -> Machine:
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -278,7 +278,7 @@
 
     def __init__(self, world: World, name: str, ip: str) -> None:
         self.world, self.name, self.ip = world, name, ip
-        self.gone = False
+        self.has_vanished = False
         self.drops_connects = False
         self.wall_offset_ns = 0
         self.listeners: dict[int, VirtualListener] = {}
@@ -299,7 +299,7 @@
         pace: Pace | None = None,
     ) -> Process:
         """Start a process that calls `main` with its system after a start time drawn from its pace."""
-        if self.gone:
+        if self.has_vanished:
             raise RuntimeError(f"{self.name} has vanished and can't start a process")
         process = Process(self, main, name or self.name, descriptors, pace)
         self.processes.append(process)
@@ -329,7 +329,7 @@
 
     def vanish(self) -> None:
         """Simulate a power failure: the machine sends nothing more, and connects to it stay unanswered."""
-        self.gone = True
+        self.has_vanished = True
         for process in list(self.processes):
             process.vanish()
         for listener in list(self.listeners.values()):
@@ -338,7 +338,7 @@
 
     def come_back(self) -> None:
         """Return to the network without processes; old connections are reset and connects are refused."""
-        self.gone = False
+        self.has_vanished = False
         self.world.network.update_down()
         self.world.network.retransmit_undelivered()
 
--- a/tests/lab/test_fault_plans.py
+++ b/tests/lab/test_fault_plans.py
@@ -241,7 +241,9 @@
     "node-restarted": (
         {"drain_s": 0.5}, lambda fleet, _: not node_instance(fleet).up and state(fleet) == "Gone",
     ),
-    "node-vanished": ({}, lambda fleet, _: node_instance(fleet).machine.gone and state(fleet) == "Gone"),
+    "node-vanished": (
+        {}, lambda fleet, _: node_instance(fleet).machine.has_vanished and state(fleet) == "Gone",
+    ),
     "fleet-shrinks": (
         {"part": 0.5, "drain_s": 0.3},
         lambda fleet, _: sum(not each.up for each in fleet.node_instances if not each.spec.spare) >= 1,
@@ -304,7 +306,9 @@
     "connects-swallowed": ({}, lambda fleet, _: node_instance(fleet).machine.drops_connects),
     "connects-refused": ({}, lambda fleet, _: bool(fleet.world.network.refusing)),
     "zone-lost": (
-        {}, lambda fleet, _: node_instance(fleet).machine.gone and not fleet.node_instances[1].machine.gone,
+        {},
+        lambda fleet, _: node_instance(fleet).machine.has_vanished
+        and not fleet.node_instances[1].machine.has_vanished,
     ),
     "zone-cut": ({}, lambda fleet, _: not linked(fleet, True) and not linked(fleet, False)),
     "zone-flaps": ({"every_s": 1.3, "how": "cut"}, lambda fleet, _: not linked(fleet, True)),
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -494,12 +494,12 @@
     with World(1, PLAIN) as world:
         recorded, received = RecordingTap(), list[bytes]()
         world.taps.append(recorded)
-        world.network.cut(
+        world.network.partition(
             world.machine("client", "10.0.0.2"), world.machine("server", "10.0.0.1"), one_way=True
         )
         if to == "client":
             world.network.heal("client", "server")
-            world.network.cut("server", "client", one_way=True)
+            world.network.partition("server", "client", one_way=True)
         world.machines["server"].start(echo)
         world.run(START_NS + 10 * MILLISECOND)
         client = world.machines["client"].start(echo_client(received))
@@ -545,7 +545,7 @@
         if how == "silence":
             network.blackhole(conns[0])
         else:
-            network.cut(
+            network.partition(
                 *(("client", "server") if how == "cut" else ("server", "client")), one_way=how == "back"
             )
         world.run(world.now_ns + SECOND)
@@ -587,7 +587,7 @@
         world.machine("client", "10.0.0.2").start(client)
         world.run(START_NS + SECOND // 10)
         assert written
-        world.network.cut("server", "client", one_way=True)
+        world.network.partition("server", "client", one_way=True)
         world.step_hooks.append(lambda: steps.append(1))
         world.run(world.now_ns + SECOND, lambda: len(steps) > 5000)
         before = len(written)
@@ -622,7 +622,7 @@
         world.machine("server", "10.0.0.1").start(server)
         world.run(START_NS + 10 * MILLISECOND)
         world.machine("client", "10.0.0.2").start(client)
-        world.at(START_NS + 200 * MILLISECOND, lambda: world.network.cut("server", "client"))
+        world.at(START_NS + 200 * MILLISECOND, lambda: world.network.partition("server", "client"))
         world.at(START_NS + 700 * MILLISECOND, lambda: world.network.heal("server", "client"))
         world.run(START_NS + 10 * SECOND)
     assert received == bytes(range(100))
@@ -635,7 +635,7 @@
         server = world.machine("server", "10.0.0.1").start(echo)
         client, received = world.machine("client", "10.0.0.2"), list[bytes]()
         world.run(START_NS + 10 * MILLISECOND)
-        world.network.refuse("server", 7)
+        world.network.refuse_connects("server", 7)
         assert isinstance(finish(world, client.start(echo_client(received))).error, ConnectionRefusedError)
         world.network.stop_refusing("server", 7)
         world.network.drop_connects(server.machine)
@@ -644,12 +644,12 @@
         assert waits.ended is None and received == []
         world.network.stop_dropping_connects(server.machine)
         assert finish(world, waits).ended == 0 and len(received) == 3
-        world.network.slow_link("client", "server", 100 * MILLISECOND)
+        world.network.set_link_latency("client", "server", 100 * MILLISECOND)
         began = world.now_ns
         finish(world, client.start(echo_client(received)))
         assert world.now_ns - began > 8 * 100 * MILLISECOND
         nowhere = client.start(lambda system: echo_client(received)(system))
-        world.network.cut("client", "server", one_way=True)
+        world.network.partition("client", "server", one_way=True)
         world.run(world.now_ns + 140 * SECOND)
         assert isinstance(nowhere.error, TimeoutError)
 
--- a/tests/system/control_plane_faults.py
+++ b/tests/system/control_plane_faults.py
@@ -470,7 +470,7 @@
         """Partition pairs of machines from each other for a time in seconds."""
         network = self.deployment.world.network
         for one, other in pairs:
-            network.cut(one, other, one_way)
+            network.partition(one, other, one_way)
 
         def end_fault() -> None:
             self.log_event("a partition ends")
@@ -501,11 +501,11 @@
         self.defer_next_loss(seconds)
 
     def _off(self, name: str) -> None:
-        if not self.deployment.world.machines[name].gone:
+        if not self.deployment.world.machines[name].has_vanished:
             self.deployment.power_off(name, nothing_unsynced=self.rng.random() < 0.5)
 
     def _on(self, name: str) -> None:
-        if name in self.names and self.deployment.world.machines[name].gone:
+        if name in self.names and self.deployment.world.machines[name].has_vanished:
             self.deployment.power_on(name)
 
     def lose_disk(self, name: str) -> None:
@@ -598,11 +598,11 @@
         network = self.deployment.world.network
         others = [each for each in self.names if each != name]
         for other in others:
-            network.slow_link(name, other, int(self.rng.uniform(0.05, 1.5) * SECOND))
+            network.set_link_latency(name, other, int(self.rng.uniform(0.05, 1.5) * SECOND))
 
         def end_fault() -> None:
             for other in others:
-                network.slow_link(name, other, 0)
+                network.set_link_latency(name, other, 0)
 
         self.schedule(seconds, end_fault)
         self.reset_connections(name)
@@ -645,7 +645,7 @@
         """Delay operators' requests to a machine until the operators have retried at others."""
         seconds = self.rng.uniform(0.5, 6.0)
         network = self.deployment.world.network
-        network.cut("caller", name)
+        network.partition("caller", name)
         self.schedule(seconds, lambda: network.heal("caller", name))
         self.defer_next_loss(0.0)
 
@@ -669,7 +669,7 @@
     def _start_again(self, name: str) -> None:
         if (
             name in self.names
-            and not self.deployment.world.machines[name].gone
+            and not self.deployment.world.machines[name].has_vanished
             and self.deployment.process(name).dead
         ):
             self.deployment.start_core(name)
--- a/tests/system/test_control_plane.py
+++ b/tests/system/test_control_plane.py
@@ -233,7 +233,7 @@
     leader = deployment.leader()
     assert leader is not None
     for name in others(deployment):
-        deployment.world.network.cut(leader, name)
+        deployment.world.network.partition(leader, name)
     reply = deployment.put(leader, 1, configuration(2))
     assert reply.status == 503
     assert reply.seconds < 1.0
@@ -338,7 +338,7 @@
     deployment.served()
     deployment.sleep(3)
     for name in ("c2", "c3"):
-        deployment.world.network.cut(name, "platform")
+        deployment.world.network.partition(name, "platform")
     deployment.add_instance("new")
     deployment.sleep(1.6)
     for controller in deployment.controllers.values():
--- a/tests/system/test_control_plane_faults.py
+++ b/tests/system/test_control_plane_faults.py
@@ -69,7 +69,7 @@
     partitioned = leader_of(deployment) if leads else follower_of(deployment)
     others = [name for name in CORES if name != partitioned]
     for name in (*others, "g1"):
-        deployment.world.network.cut(partitioned, name)
+        deployment.world.network.partition(partitioned, name)
     accepted = 1
     begun = deployment.now
     while deployment.now < begun + 20.0:
@@ -128,7 +128,7 @@
     partitioned = follower_of(deployment)
     others = [name for name in CORES if name != partitioned]
     for name in others:
-        deployment.world.network.cut(partitioned, name)
+        deployment.world.network.partition(partitioned, name)
     put_until_accepted(deployment, others[0], 1, configuration(2, route("/n/")))
     deployment.sleep(1.0)
     for number in range(2, 8):
@@ -225,7 +225,7 @@
     """A partition delays an operator's request until the operator has retried at another controller."""
     deployment.served()
     partitioned, other = follower_of(deployment), leader_of(deployment)
-    deployment.world.network.cut("caller", partitioned)
+    deployment.world.network.partition("caller", partitioned)
     address = (deployment.world.machines[partitioned].ip, 8166)
     call = deployment.start_call(address, "POST", "/api/evacuations/n1", timeout_s=1.0)
     deployment.wait(lambda: bool(call.error))
