--- a/brambleusher/fronts/mysql/auth.py
+++ b/brambleusher/fronts/mysql/auth.py
@@ -65,7 +65,7 @@
     return hashlib.sha1(hashlib.sha1(password).digest()).digest()
 
 
-def verify_native_response(answer: bytes, challenge: bytes, stored: bytes) -> bool:
+def verify_native(answer: bytes, challenge: bytes, stored: bytes) -> bool:
     """Check a challenge response against the stored `mysql_native_password` hash."""
     if not stored or not answer:
         return not stored and not answer
@@ -429,8 +429,7 @@
     def _authenticate(self, login: Login) -> Iterator[LoginStep]:
         """Request the response that the user's plugin needs, and verify it."""
         secret = self._find_secret(login.user)
-        # An unknown user goes through the same exchange before rejection, so that clients can't find out
-        # which users exist.
+        # Unknown users pass through the same exchange, so that clients can't find out which users exist.
         plugin = secret.plugin if secret is not None else self._plugin
         answer = login.auth_response
         if login.plugin != plugin or len(self._challenge) != SCRAMBLE:
@@ -444,9 +443,7 @@
                 answer = self._last_message
         answer = answer.removesuffix(b"\0") if len(answer) == 1 else answer
         if plugin == NATIVE:
-            verified = secret is not None and verify_native_response(
-                answer, self._challenge, secret.double_sha1
-            )
+            verified = secret is not None and verify_native(answer, self._challenge, secret.double_sha1)
         elif secret is not None and (secret.passwordless or not answer):
             verified = secret.passwordless and not answer
         elif (
@@ -464,10 +461,9 @@
                 else:
                     yield step
         if not verified and self.error is None:
-            password_given = "YES" if answer else "NO"
+            given = "YES" if answer else "NO"
             self._reject(
-                Errno.ACCESS_DENIED,
-                f"Access denied for user '{login.user}' (using password: {password_given})",
+                Errno.ACCESS_DENIED, f"Access denied for user '{login.user}' (using password: {given})"
             )
 
     def _full_exchange(self, secret: Secret | None) -> Iterator[LoginStep | bool]:
--- a/brambleusher/fronts/mysql/front.py
+++ b/brambleusher/fronts/mysql/front.py
@@ -59,7 +59,7 @@
 
 CLIENT_WRITE_SECONDS = 30.0  # timeout in seconds for each write to a client that reads its rows slowly
 COMMAND_READ_SECONDS = 30.0  # timeout in seconds for the rest of a partially received command
-CLIENT_CHECK_SECONDS = 0.05  # interval in seconds of the check whether the client has closed its connection
+CLIENT_CHECK_S = 0.05  # interval in seconds of the check whether the client has closed its connection
 SOFT_PIN_SECONDS = 1.0  # idle time in seconds after which soft pins are dropped
 # Maximum time in seconds that a client may spend between the statements of one attempt; after that the
 # attempt counts as served.  Without this limit, a node would look slow or full because of clients that pause
@@ -781,19 +781,12 @@
                     timeout_error = Err.of(Errno.QUERY_TIMEOUT, text)
                     error = self._outcome_error(in_transaction, statement, timeout_error)
                     raise NodeConnectionError(error, AttemptStatus.TIMEOUT, stop=not is_commit)
-                if (
-                    client.drain_deadline is not None
-                    and now >= self._drain_deadline(client, now)
-                    and not is_commit
-                ):
+                if (client.drain_deadline is not None and now >= self._drain_deadline(client, now)
+                        and not is_commit):  # fmt: skip
                     self._counters.add("mysql_drained")
                     error = self._outcome_error(in_transaction, statement, _drain_error(client.session))
                     raise NodeConnectionError(error, AttemptStatus.CANCELLED, stop=True)
-                wait_until = (
-                    now + CLIENT_CHECK_SECONDS
-                    if deadline is None
-                    else min(now + CLIENT_CHECK_SECONDS, deadline)
-                )
+                wait_until = now + CLIENT_CHECK_S if deadline is None else min(now + CLIENT_CHECK_S, deadline)
                 try:
                     data = channel.receive(wait_until, client.event)
                 except TaskTimeoutError:
@@ -804,10 +797,8 @@
                     return data
                 if data is not None:
                     raise ConnectionResetError
-        except _CONNECTION_ERRORS as error:
-            raise NodeConnectionError(
-                self._lost_error(in_transaction, statement), AttemptStatus.RESET
-            ) from error
+        except _CONNECTION_ERRORS as e:
+            raise NodeConnectionError(self._lost_error(in_transaction, statement), AttemptStatus.RESET) from e
         finally:
             reserved.node_time_ns += int((self._scheduler.now() - started) * 1e9)
 
--- a/brambleusher/fronts/mysql/mapping.py
+++ b/brambleusher/fronts/mysql/mapping.py
@@ -63,11 +63,8 @@
         elif self._idempotency(name) is not api.Idempotency.UNSAFE and (
             transaction or not statement.plain_read
         ):
-            description = "a transaction" if transaction else "not a plain read"
-            name, reason = (
-                settings.strict_class,
-                f"{reason} selects {name}, but the statement is {description}",
-            )
+            kind = "a transaction" if transaction else "not a plain read"
+            name, reason = settings.strict_class, f"{reason} selects {name}, but the statement is {kind}"
         deadline_ms = (
             hint.deadline_ms
             or (statement_rule.deadline_ms if statement_rule is not None else None)
--- a/brambleusher/fronts/mysql/nodes.py
+++ b/brambleusher/fronts/mysql/nodes.py
@@ -433,22 +433,10 @@
 
     # --- attempts -------------------------------------------------------------------------------
 
-    def start_attempt(self, parameters: AttemptSpec) -> MysqlAttempt:
-        """Start an attempt.
-
-        `on_response_started` is called if the response continues or the session reserves the connection.
-        """
-        name, payload, timeout_ns, deadline = (
-            parameters.endpoint,
-            parameters.payload,
-            parameters.timeout_ns,
-            parameters.deadline,
-        )
-        on_finished, on_response_started, is_wanted = (
-            parameters.on_finished,
-            parameters.on_response_started,
-            parameters.is_still_needed,
-        )
+    def start_attempt(self, spec: AttemptSpec) -> MysqlAttempt:
+        """Start an attempt; call `on_response_started` for a continuing reply or a reserved connection."""
+        name, payload, timeout_ns, deadline = spec.endpoint, spec.payload, spec.timeout_ns, spec.deadline
+        on_finished, on_started, is_wanted = spec.on_finished, spec.on_response_started, spec.is_still_needed
         if not isinstance(payload, PendingCommand):
             raise TypeError("the payload of a MySQL attempt is not a MySQL command")
         attempt, started_at = MysqlAttempt(payload.session.traits), self._scheduler.now()
@@ -475,14 +463,12 @@
                     if attempt.load_counted:
                         node.meter.end(self._scheduler.now())
             if transferred or payload.broke:
-                on_response_started(reply)
+                on_started(reply)
             if not transferred:
                 duration_ns = int((self._scheduler.now() - started_at) * 1e9)
-                on_finished(
-                    AttemptOutcome(
-                        status, duration_ns, self.report(node) if status is AttemptStatus.OK else None, reply
-                    )
-                )
+                on_finished(AttemptOutcome(
+                    status, duration_ns, self.report(node) if status is AttemptStatus.OK else None, reply
+                ))  # fmt: skip
 
         self._scheduler.spawn(run, name=f"mysql claim {name}")
         return attempt
--- a/brambleusher/fronts/mysql/session.py
+++ b/brambleusher/fronts/mysql/session.py
@@ -210,10 +210,8 @@
             return
         for pin, name in statement.pins:
             if error is None or pin not in (
-                PinReason.TEMPORARY_TABLE,
-                PinReason.SETTING,
-                PinReason.DIAGNOSTICS,
-            ):
+                PinReason.TEMPORARY_TABLE, PinReason.SETTING, PinReason.DIAGNOSTICS,
+            ):  # fmt: skip
                 self.tie(pin, name)
         if error is not None:
             return
--- a/brambleusher/fronts/mysql/statements.py
+++ b/brambleusher/fronts/mysql/statements.py
@@ -300,12 +300,8 @@
                 StatementKind.LOCAL_FILE if "local" in names[:4] else StatementKind.WRITE, self.digest
             )
         if first in ("prepare", "execute", "deallocate"):
-            return Statement(
-                StatementKind.UNKNOWN,
-                self.digest,
-                pins=((PinReason.PREPARED, ""),),
-                unknown_reason="PREPARE in SQL",
-            )
+            return Statement(StatementKind.UNKNOWN, self.digest, pins=((PinReason.PREPARED, ""),),
+                             unknown_reason="PREPARE in SQL")  # fmt: skip
         if first == "get" and "diagnostics" in names[:3]:
             return replace(self.unknown("GET DIAGNOSTICS sets variables"), depends_on_previous=True)
         if first in _DDL_WORDS:
