--- a/brambleusher/cli/explore.py
+++ b/brambleusher/cli/explore.py
@@ -18,7 +18,7 @@
 
 import click
 
-from brambleusher.lab.faults.breakages import BREAKAGES
+from brambleusher.lab.faults.breakages import PROGRAM_MUTATIONS
 from brambleusher.lab.faults.kinds import PROFILES
 from brambleusher.lab.fleets.scenario import (
     Scenario,
@@ -140,7 +140,7 @@
         Raises:
             ExploreUsageError: An option has an invalid value.
         """
-        if self.mutation is not None and self.mutation not in BREAKAGES:
+        if self.mutation is not None and self.mutation not in PROGRAM_MUTATIONS:
             raise ExploreUsageError(
                 f"--breakage {self.mutation}: unknown fault; --list-breakages prints the names"
             )
@@ -176,7 +176,7 @@
 
 def _activate(mutation_name: str | None) -> AbstractContextManager[object] | None:
     """Return the context manager that applies a mutation during a run, or None without a name."""
-    return None if mutation_name is None else BREAKAGES[mutation_name].activated()
+    return None if mutation_name is None else PROGRAM_MUTATIONS[mutation_name].activated()
 
 
 def play_chunk(task: tuple[range, str, str | None]) -> list[Result]:
@@ -392,7 +392,7 @@
 
 def _print_mutations() -> int:
     """Print the name, description and violated invariants of every mutation."""
-    for name, mutation in BREAKAGES.items():
+    for name, mutation in PROGRAM_MUTATIONS.items():
         print(f"{name}: {mutation.description} ({', '.join(mutation.rules)})")
     return STATUS_PASSED
 
--- a/brambleusher/lab/control/history.py
+++ b/brambleusher/lab/control/history.py
@@ -167,7 +167,7 @@
 
 
 class _VersionlessEndpoints(DiscoveredEndpoints):
-    """Endpoint list of the `floor` breakage, which accepts older versions from discovery."""
+    """Endpoint list of the `floor` mutation, which accepts older versions from discovery."""
 
     def update(self, update: EndpointListUpdate) -> Mapping[str, Endpoint | None] | None:
         self.version = None
@@ -177,9 +177,9 @@
 class History:
     """A random schedule of events for the control service, drawn from a seed."""
 
-    def __init__(self, seed: int, folder: Path, breakage: str = "") -> None:
+    def __init__(self, seed: int, folder: Path, mutation: str = "") -> None:
         self.rng = random.Random(seed)
-        self.checker, self.breakage = ConsistencyChecker(), breakage
+        self.checker, self.mutation = ConsistencyChecker(), mutation
         self.now = 0
         self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._count = 0
@@ -291,7 +291,7 @@
 
     def _start(self, instance: _Instance) -> None:
         disk = instance.disk
-        floor = None if disk.wiped or self.breakage == "store" else disk.position
+        floor = None if disk.wiped or self.mutation == "store" else disk.position
         if disk.wiped:  # only its subscribers still know what the instance sent before
             self.checker.sent.pop(instance.name, None)
         disk.wiped = False
@@ -301,13 +301,13 @@
             floor,
             self.now,
             seed=instance.incarnation,
-            is_floor_certain=self.breakage == "store",
+            is_floor_certain=self.mutation == "store",
         )
-        if self.breakage == "claims":
+        if self.mutation == "claims":
             instance.core.view_consistency.record_subscriber_position = lambda position: None  # type: ignore[method-assign]
-        if self.breakage == "silence":
+        if self.mutation == "silence":
             instance.core.view_consistency.is_discovery_connected = lambda now: True  # type: ignore[method-assign]
-        if self.breakage == "floor":
+        if self.mutation == "floor":
             instance.core.discovered = _VersionlessEndpoints()
             instance.core.view_consistency._raise_floor = lambda position: None  # type: ignore[method-assign]
         instance.writing = False
@@ -497,7 +497,7 @@
         elif kind == "kill":
             self._kill(instance)
         elif kind == "lost":
-            instance.disk.wiped = rng.random() < 0.3 and self.breakage != "silence"
+            instance.disk.wiped = rng.random() < 0.3 and self.mutation != "silence"
             self._kill(instance)
         elif kind in ("cut", "apart"):
             setattr(instance, kind, True)
@@ -554,13 +554,13 @@
                 raise Violation(f"{proxy.name} ended without routes or the clusters that routes refer to")
 
 
-BREAKAGES = ("store", "claims", "silence", "floor")
+MUTATION_NAMES = ("store", "claims", "silence", "floor")
 
 
-def run(seed: int, folder: Path, breakage: str = "") -> ConsistencyChecker:
+def run(seed: int, folder: Path, mutation: str = "") -> ConsistencyChecker:
     """Run one schedule; raises `Violation` with the seed in its text."""
     try:
-        return History(seed, folder, breakage).run()
+        return History(seed, folder, mutation).run()
     except Violation as error:
         raise Violation(f"seed {seed}: {error}") from None
 
@@ -570,7 +570,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=200)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--breakage", choices=BREAKAGES, default="")
+    parser.add_argument("--breakage", choices=MUTATION_NAMES, default="")
     args = parser.parse_args()
     logging.getLogger("brambleusher").setLevel(logging.CRITICAL)
     check_count = broken = 0
--- a/brambleusher/lab/faults/breakages.py
+++ b/brambleusher/lab/faults/breakages.py
@@ -1,6 +1,6 @@
 """Deliberate bugs, injected into the program temporarily to check that the lab detects them.
 
-Each breakage patches the program's classes in this process and is undone afterwards.  A breakage keeps no
+Each mutation patches the program's classes in this process and is undone afterwards.  A mutation keeps no
 state from one run to the next: a bug that affects only some requests selects them by request id or by time.
 """
 
@@ -50,7 +50,7 @@
 
 
 class Patches:
-    """Attributes replaced by a breakage, with their original values for restoring them."""
+    """Attributes replaced by a mutation, with their original values for restoring them."""
 
     def __init__(self) -> None:
         self._old: list[tuple[Any, str, Any]] = []
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Breakage:
+class Mutation:
     """A deliberate bug: its name, its description, and the rules of which at least one must report it."""
 
     name: str
@@ -89,31 +89,31 @@
             patches.undo()
 
 
-BREAKAGES: dict[str, Breakage] = {}
+PROGRAM_MUTATIONS: dict[str, Mutation] = {}
 
 
-def breakage(
+def mutation(
     name: str, description: str, *rules: str, profile: str = "default"
 ) -> Callable[[Callable[[Patches], None]], Callable[[Patches], None]]:
-    """Return a decorator that registers a patch as a breakage with this name and description."""
+    """Return a decorator that registers a patch as a mutation with this name and description."""
     assert rules and not set(rules) - set(RULES), rules
 
     def add(apply_patches: Callable[[Patches], None]) -> Callable[[Patches], None]:
-        BREAKAGES[name] = Breakage(name, description, rules, apply_patches, profile)
+        PROGRAM_MUTATIONS[name] = Mutation(name, description, rules, apply_patches, profile)
         return apply_patches
 
     return add
 
 
 def is_affected(request: str, one_in: int) -> bool:
-    """Return whether a request is one of the few, on average one in `one_in`, that a breakage affects."""
+    """Return whether a request is one of the few, on average one in `one_in`, that a mutation affects."""
     return zlib.crc32(request.encode()) % one_in == 0
 
 
 # --- drains and lists -----------------------------------------------------------------------------
 
 
-@breakage("drain-late", "draining and removed nodes are processed 1 ms after the drain grace period", "drain")
+@mutation("drain-late", "draining and removed nodes are processed 1 ms after the drain grace period", "drain")
 def _drain_late(patches: Patches) -> None:
     def receive(self: EndpointUpdates, update: EndpointListUpdate) -> None:
         leaving = [each for each in update.endpoints if each.entry.state is not HostState.READY]
@@ -132,12 +132,12 @@
     old = patches.set(EndpointUpdates, "receive", receive)
 
 
-@breakage("drain-ignored", "a draining node is treated as ready", "drain")
+@mutation("drain-ignored", "a draining node is treated as ready", "drain")
 def _drain_ignored(patches: Patches) -> None:
     patches.set(list_module, "_STATES", {**list_module._STATES, "Terminating": HostState.READY})
 
 
-@breakage("old-process", "idle connections to a replaced process are kept", "drain", "dirty")
+@mutation("old-process", "idle connections to a replaced process are kept", "drain", "dirty")
 def _old_process(patches: Patches) -> None:
     def update_endpoint(self: UpstreamPool, endpoint: Endpoint) -> None:
         existing = self._endpoints.get(endpoint.entry.host)
@@ -148,7 +148,7 @@
     old = patches.set(UpstreamPool, "_update_endpoint", update_endpoint)
 
 
-@breakage("versions-kept", "a new discovery service is queried from the old service's version", "versions")
+@mutation("versions-kept", "a new discovery service is queried from the old service's version", "versions")
 def _versions_kept(patches: Patches) -> None:
     def switch_now(self: EndpointList, feed: Feed) -> None:
         version = self._version
@@ -161,7 +161,7 @@
 # --- operator actions -----------------------------------------------------------------------------
 
 
-@breakage(
+@mutation(
     "ban-lifted", "an update of a node from discovery ends the operators' ban", "drain", profile="operators",
 )  # fmt: skip
 def _ban_lifted(patches: Patches) -> None:
@@ -172,7 +172,7 @@
     old = patches.set(EndpointUpdates, "apply_bans", apply_bans)
 
 
-@breakage(
+@mutation(
     "ban-unknown", "a request to take a node offline is acknowledged without effect", "drain",
     profile="operators",
 )  # fmt: skip
@@ -180,7 +180,7 @@
     patches.set(OperatorActions, "take_endpoint_offline", lambda self, node: self.bans.is_known(node))
 
 
-@breakage(
+@mutation(
     "ready-while-out", "/ready still reports ready while out of service", "service", profile="operators",
 )  # fmt: skip
 def _ready_while_out(patches: Patches) -> None:
@@ -191,14 +191,14 @@
     old = patches.set(ClientDraining, "start", start)
 
 
-@breakage(
+@mutation(
     "kept-while-out", "idle connections are kept while out of service", "service", profile="operators",
 )  # fmt: skip
 def _kept_while_out(patches: Patches) -> None:
     patches.set(ClientDraining, "may_stay_idle", lambda self, now, since, asked: True)
 
 
-@breakage(
+@mutation(
     "not-back", "/ready still reports not ready after the return to service", "service", profile="operators",
 )  # fmt: skip
 def _not_back(patches: Patches) -> None:
@@ -209,7 +209,7 @@
     old = patches.set(ClientDraining, "resume", resume)
 
 
-@breakage(
+@mutation(
     "ready-late", "a sidecar rejected by discovery waits for a list, although it has one", "service",
     profile="operators",
 )  # fmt: skip
@@ -220,7 +220,7 @@
 # --- non-idempotent requests ----------------------------------------------------------------------
 
 
-@breakage("unsafe-again", "a non-idempotent request is retried after a reset", "repeat", "once")
+@mutation("unsafe-again", "a non-idempotent request is retried after a reset", "repeat", "once")
 def _unsafe_again(patches: Patches) -> None:
     def may_attempt_again(self: RetryPolicy, request: Request, now: int) -> bool:
         return len(request.attempts) < self._settings.max_attempts and request.deadline_ns > now
@@ -228,7 +228,7 @@
     patches.set(RetryPolicy, "may_attempt_again", may_attempt_again)
 
 
-@breakage("refused-after", "a request that may have run is rejected as if it had not", "refusal")
+@mutation("refused-after", "a request that may have run is rejected as if it had not", "refusal")
 def _refused_after(patches: Patches) -> None:
     def give_up(self: Balancer, request: Request) -> None:
         request.is_answered = True
@@ -237,7 +237,7 @@
     patches.set(Balancer, "_give_up", give_up)
 
 
-@breakage("reset-as-connect", "a reset after the last byte counts as a failed connect", "repeat", "refusal")
+@mutation("reset-as-connect", "a reset after the last byte counts as a failed connect", "repeat", "refusal")
 def _reset_as_connect(patches: Patches) -> None:
     def run(self: UpstreamExchange) -> AttemptResult | None:
         result: AttemptResult | None = old(self)
@@ -250,7 +250,7 @@
     old = patches.set(UpstreamExchange, "run", run)
 
 
-@breakage("error-as-full", "a 500 counts as an overload rejection before the start", "repeat", "refusal")
+@mutation("error-as-full", "a 500 counts as an overload rejection before the start", "repeat", "refusal")
 def _error_as_full(patches: Patches) -> None:
     def attempt_status_of(response: Message) -> AttemptStatus:
         return AttemptStatus.OVERLOADED if response.status >= 500 else AttemptStatus(old(response))
@@ -258,7 +258,7 @@
     old = patches.set(upstream_exchange, "attempt_status_of", attempt_status_of)
 
 
-@breakage("again-below", "an attempt that was reset is repeated without the balancer", "repeat", "once")
+@mutation("again-below", "an attempt that was reset is repeated without the balancer", "repeat", "once")
 def _again_below(patches: Patches) -> None:
     def run(self: UpstreamExchange) -> AttemptResult | None:
         result: AttemptResult | None = old(self)
@@ -269,7 +269,7 @@
     old = patches.set(UpstreamExchange, "run", run)
 
 
-@breakage("attempts-uncounted", "the limit on attempts is ignored", "attempts")
+@mutation("attempts-uncounted", "the limit on attempts is ignored", "attempts")
 def _attempts_uncounted(patches: Patches) -> None:
     def may_attempt_again(self: RetryPolicy, request: Request, now: int) -> bool:
         made, request.attempts = request.attempts, request.attempts[-1:]
@@ -284,7 +284,7 @@
 # --- responses ------------------------------------------------------------------------------------
 
 
-@breakage("answer-swapped", "one request in sixteen gets the response served before its own", "other-answer")
+@mutation("answer-swapped", "one request in sixteen gets the response served before its own", "other-answer")
 def _answer_swapped(patches: Patches) -> None:
     def run(
         self: RequestLifecycle, request: ClientRequest, deadline: Callable[[], float], client: ClientHandle
@@ -298,7 +298,7 @@
     old = patches.set(RequestLifecycle, "run", run)
 
 
-@breakage("connection-kept", "a connection returns to the pool before its response", "shared", "other-answer")
+@mutation("connection-kept", "a connection returns to the pool before its response", "shared", "other-answer")
 def _connection_kept(patches: Patches) -> None:
     def release(self: UpstreamConnections, endpoint: UpstreamEndpoint, stream: Stream, keep: bool) -> None:
         old(self, endpoint, stream, True)
@@ -306,7 +306,7 @@
     old = patches.set(UpstreamConnections, "release", release)
 
 
-@breakage("reuse-unseen", "an idle connection is reused without a check for unread bytes", "dirty")
+@mutation("reuse-unseen", "an idle connection is reused without a check for unread bytes", "dirty")
 def _reuse_unseen(patches: Patches) -> None:
     def acquire(
         self: UpstreamConnections, endpoint: UpstreamEndpoint, attempt: UpstreamAttempt, deadline: float
@@ -318,7 +318,7 @@
     old = patches.set(UpstreamConnections, "acquire", acquire)
 
 
-@breakage("cut-served", "a response truncated by a broken connection is served", "made-answer")
+@mutation("cut-served", "a response truncated by a broken connection is served", "made-answer")
 def _cut_served(patches: Patches) -> None:
     def read(self: UpstreamResponseReader) -> tuple[Message, bool]:
         reader = MessageReader.responses()
@@ -343,7 +343,7 @@
     patches.set(UpstreamResponseReader, "read", read)
 
 
-@breakage("two-answers", "a failure is answered twice", "one-answer")
+@mutation("two-answers", "a failure is answered twice", "one-answer")
 def _two_answers(patches: Patches) -> None:
     def write_response(status: int, *args: Any, **kwargs: Any) -> bytes:
         data: bytes = old(status, *args, **kwargs)
@@ -352,7 +352,7 @@
     old = patches.set(client_response, "write_response", write_response)
 
 
-@breakage("silent-fault", "an exception while encoding a failure ends the connection", "answer")
+@mutation("silent-fault", "an exception while encoding a failure ends the connection", "answer")
 def _silent_fault(patches: Patches) -> None:
     def encode_final_response(response: FinalResponse, *args: Any) -> Any:
         if response.kind is ResponseKind.FAILED:
@@ -362,7 +362,7 @@
     old = patches.set(client_request_handler, "encode_final_response", encode_final_response)
 
 
-@breakage("answer-late", "requests are held for 100 ms past their deadline", "answer")
+@mutation("answer-late", "requests are held for 100 ms past their deadline", "answer")
 def _answer_late(patches: Patches) -> None:
     def run(
         self: RequestLifecycle, request: ClientRequest, deadline: Callable[[], float], client: ClientHandle
@@ -373,7 +373,7 @@
     old = patches.set(RequestLifecycle, "run", run)
 
 
-@breakage("sigterm-drops", "the program ends after SIGTERM with requests unanswered", "answer")
+@mutation("sigterm-drops", "the program ends after SIGTERM with requests unanswered", "answer")
 def _sigterm_drops(patches: Patches) -> None:
     patches.set(Lifecycle, "is_finished", lambda self: self.is_drained)
 
@@ -381,7 +381,7 @@
 # --- requests -------------------------------------------------------------------------------------
 
 
-@breakage("both-framings", "a request with both framings is read by its coding", "unasked", "framing")
+@mutation("both-framings", "a request with both framings is read by its coding", "unasked", "framing")
 def _both_framings(patches: Patches) -> None:
     def framing(self: MessageReader, message: Message) -> int:
         if not self._is_for_responses and "transfer-encoding" in message.headers:
@@ -391,7 +391,7 @@
     old = patches.set(MessageReader, "_framing", framing)
 
 
-@breakage("half-requests-kept", "a client may take 30 seconds for its first request", "bad-client")
+@mutation("half-requests-kept", "a client may take 30 seconds for its first request", "bad-client")
 def _half_requests_kept(patches: Patches) -> None:
     patches.set(client_connection, "FIRST_REQUEST_TIMEOUT_S", 30.0)
 
@@ -399,7 +399,7 @@
 # --- leaked resources -----------------------------------------------------------------------------
 
 
-@breakage("cold-ignored", "a node that has just started is treated as warm", "cold")
+@mutation("cold-ignored", "a node that has just started is treated as warm", "cold")
 def _cold_ignored(patches: Patches) -> None:
     def warm_fraction(self: SlowStartBudget, host: Host, now: int) -> float:
         return 1.0
@@ -407,7 +407,7 @@
     patches.set(SlowStartBudget, "warm_fraction", warm_fraction)
 
 
-@breakage("timer-lost", "one in forty of the balancer's timers is not set", "timers")
+@mutation("timer-lost", "one in forty of the balancer's timers is not set", "timers")
 def _timer_lost(patches: Patches) -> None:
     def set_timer(self: BalancerDriver, at_ns: int, token: int) -> None:
         if at_ns // 1000 % 40:
@@ -416,7 +416,7 @@
     old = patches.set(BalancerDriver, "_set_timer", set_timer)
 
 
-@breakage("ticket-kept", "pending requests with several attempts are never released", "left-over")
+@mutation("ticket-kept", "pending requests with several attempts are never released", "left-over")
 def _ticket_kept(patches: Patches) -> None:
     def release(self: BalancerDriver, pending: PendingRequest) -> None:
         if pending.attempts_requested < 2:
@@ -425,7 +425,7 @@
     old = patches.set(BalancerDriver, "_release", release)
 
 
-@breakage("places-kept", "a closed connection still counts as open", "left-over", "recovery")
+@mutation("places-kept", "a closed connection still counts as open", "left-over", "recovery")
 def _places_kept(patches: Patches) -> None:
     def discard(self: UpstreamConnections, stream: Stream) -> None:
         stream.close()
@@ -433,7 +433,7 @@
     patches.set(UpstreamConnections, "_discard", discard)
 
 
-@breakage("limit-stuck", "the balancer's limit on requests in flight never rises", "recovery")
+@mutation("limit-stuck", "the balancer's limit on requests in flight never rises", "recovery")
 def _limit_stuck(patches: Patches) -> None:
     def update_limit(self: Balancer, gap: float) -> None:
         before = self.admission.limit
@@ -444,7 +444,7 @@
     old = patches.set(Balancer, "_update_admission_limit", update_limit)
 
 
-@breakage("descriptor-kept", "idle connections to a removed node are forgotten, not closed", "left-over")
+@mutation("descriptor-kept", "idle connections to a removed node are forgotten, not closed", "left-over")
 def _descriptor_kept(patches: Patches) -> None:
     def close_idle(self: UpstreamConnections, endpoint: UpstreamEndpoint) -> None:
         self.open_count -= len(endpoint.idle)
@@ -453,7 +453,7 @@
     patches.set(UpstreamConnections, "close_idle", close_idle)
 
 
-@breakage("report-halved", "the balancer receives half of the reported utilization", "report")
+@mutation("report-halved", "the balancer receives half of the reported utilization", "report")
 def _report_halved(patches: Patches) -> None:
     def parse_load_report(text: str | None, *args: Any) -> api.LoadReport | None:
         report: api.LoadReport | None = old(text, *args)
@@ -464,7 +464,7 @@
     old = patches.set(upstream_responses, "parse_load_report", parse_load_report)
 
 
-@breakage("capture-forgets", "a capture leaves out the load reports", "replay")
+@mutation("capture-forgets", "a capture leaves out the load reports", "replay")
 def _capture_forgets(patches: Patches) -> None:
     def encode_event(event: api.Event | None) -> tuple[str, dict[str, Any]]:
         name, fields = old(event)
--- a/brambleusher/lab/processes/breakages.py
+++ b/brambleusher/lab/processes/breakages.py
@@ -1,10 +1,10 @@
-"""Deliberate breakages of the program, including those that only real processes can show."""
+"""Deliberate bugs (mutations) of the program, including those that only real processes can show."""
 
 from __future__ import annotations
 
 from contextlib import AbstractContextManager
 
-from brambleusher.lab.faults.breakages import BREAKAGES, Breakage, Patches
+from brambleusher.lab.faults.breakages import PROGRAM_MUTATIONS, Mutation, Patches
 from brambleusher.runtime.operating_system import RealSystem
 from brambleusher.runtime.peer_presence import PeerPresence
 from brambleusher.runtime.scheduler import Scheduler
@@ -66,25 +66,25 @@
     patches.set(PeerPresence, "check_left", lambda self: False)
 
 
-PROCESS_BREAKAGES = {
-    "unread-ones-served": Breakage(
+PROCESS_MUTATIONS = {
+    "unread-ones-served": Mutation(
         "unread-ones-served", "requests of clients that have left are served first after a stop",
         ("for-nobody",), _departed_clients_served,
     ),
-    "accept-blocks": Breakage(
+    "accept-blocks": Mutation(
         "accept-blocks", "an accepted connection is left to block", ("answer", "bad-client"), _accept_blocks
     ),
-    "lost-in-accept": Breakage(
+    "lost-in-accept": Mutation(
         "lost-in-accept", "descriptors are lost at the first accept after a stop", ("left-over",),
         _accept_leaks_descriptors,
     ),
-    "memory-kept": Breakage(
+    "memory-kept": Mutation(
         "memory-kept", "4 MB are kept for each connection", (), _accept_leaks_memory
     ),
 }  # fmt: skip
-ALL_BREAKAGES = {**BREAKAGES, **PROCESS_BREAKAGES}
+ALL_MUTATIONS = {**PROGRAM_MUTATIONS, **PROCESS_MUTATIONS}
 
 
-def apply_breakage(name: str) -> AbstractContextManager[None]:
-    """Return a context in which the named breakage is applied; raises `KeyError` for an unknown name."""
-    return ALL_BREAKAGES[name].activated()
+def apply_mutation(name: str) -> AbstractContextManager[None]:
+    """Return a context in which the named mutation is applied; raises `KeyError` for an unknown name."""
+    return ALL_MUTATIONS[name].activated()
--- a/brambleusher/lab/processes/child.py
+++ b/brambleusher/lab/processes/child.py
@@ -38,13 +38,13 @@
 @click.option("--operator")
 @click.option("--breakage")
 def main(wall_file: str, operator: str | None, breakage: str | None) -> None:
-    """Run the sidecar until it exits, with a breakage applied if one is named."""
-    breakage_context: AbstractContextManager[object] = nullcontext()
+    """Run the sidecar until it exits, with a mutation applied if `--breakage` names one."""
+    mutation_context: AbstractContextManager[object] = nullcontext()
     if breakage is not None:
-        from brambleusher.lab.processes.breakages import apply_breakage
+        from brambleusher.lab.processes.breakages import apply_mutation
 
-        breakage_context = apply_breakage(breakage)
-    with breakage_context:
+        mutation_context = apply_mutation(breakage)
+    with mutation_context:
         sys.exit(run(operator, "logfmt", ShiftedClockSystem(wall_file)))
 
 
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -25,7 +25,7 @@
 from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, empty_world
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.worlds import merge_mappings
-from brambleusher.lab.processes.breakages import apply_breakage
+from brambleusher.lab.processes.breakages import apply_mutation
 from brambleusher.lab.processes.fleet import PerSidecarAudience, RealFleet, raise_descriptor_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import UsageSampler
@@ -196,25 +196,25 @@
         return "FAILED" if self.breaches or self.missed else "ok"
 
 
-def play(drill: Drill, where: Where, folder: Path | None = None, breakage: str = "") -> Outcome:
+def play(drill: Drill, where: Where, folder: Path | None = None, mutation: str = "") -> Outcome:
     """Play a drill, repeatedly while the test rig is late; a drill with a late test rig never passes."""
     if where == "virtual":
-        return _play_virtual(drill, breakage)
+        return _play_virtual(drill, mutation)
     for _ in range(PLAYS_MAX):
         if folder is None:
             with tempfile.TemporaryDirectory(prefix="brambleusher-drill-") as temporary:
-                outcome = _play_processes(drill, Path(temporary), breakage)
+                outcome = _play_processes(drill, Path(temporary), mutation)
         else:
             folder.mkdir(parents=True, exist_ok=True)
-            outcome = _play_processes(drill, folder, breakage)
+            outcome = _play_processes(drill, folder, mutation)
         if not outcome.late:
             break
     return outcome
 
 
-def _play_virtual(drill: Drill, breakage: str) -> Outcome:
+def _play_virtual(drill: Drill, mutation: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
-    with empty_world(scenario) as world, apply_breakage(breakage) if breakage else nullcontext():
+    with empty_world(scenario) as world, apply_mutation(mutation) if mutation else nullcontext():
         rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
@@ -234,7 +234,7 @@
     return outcome
 
 
-def _play_processes(drill: Drill, folder: Path, breakage: str) -> Outcome:
+def _play_processes(drill: Drill, folder: Path, mutation: str) -> Outcome:
     raise_descriptor_limit()
     scenario, outcome = scenario_of(drill), Outcome("processes")
     settings = scenario.world.sidecar_settings(0)
@@ -245,7 +245,7 @@
     stage = RealStage(drill.seed, folder)
     fleet: RealFleet | None = None
     try:
-        fleet = RealFleet(scenario, stage, breakage=breakage)
+        fleet = RealFleet(scenario, stage, mutation=mutation)
         checker = Checker(rules, fleet.executions)
         fleet.monitor = cast(Any, PerSidecarAudience(fleet, checker))
         sums, usage, created_ns = (
--- a/brambleusher/lab/processes/fleet.py
+++ b/brambleusher/lab/processes/fleet.py
@@ -184,7 +184,7 @@
         command = [
             sys.executable, "-m", "brambleusher.lab.processes.child", str(self.machine_on_rig.wall_file),
             *(["--operator", str(self._operator_path)] if self.operator else []),
-            *(["--breakage", self.fleet.breakage] if self.fleet.breakage else []),
+            *(["--breakage", self.fleet.mutation] if self.fleet.mutation else []),
         ]  # fmt: skip
         environment = {"NODE_CONFIG": str(self._config), "PYTHONPATH": os.pathsep.join(sys.path)}
         if self.fleet.has_operators:
@@ -296,15 +296,15 @@
 
 
 class RealFleet(BaseFleet):
-    """A fleet with real sidecars; `breakage` names a deliberate fault to apply in each of them."""
+    """A fleet with real sidecars; `mutation` names a deliberate fault to apply in each of them."""
 
     stage: RealStage
     linger_s = LINGER_SECONDS
 
     def __init__(
-        self, scenario: Scenario, stage: RealStage, monitor: FleetMonitor | None = None, breakage: str = ""
+        self, scenario: Scenario, stage: RealStage, monitor: FleetMonitor | None = None, mutation: str = ""
     ) -> None:
-        self.stage, self.breakage = stage, breakage
+        self.stage, self.mutation = stage, mutation
         super().__init__(scenario, stage, monitor)
         self._by_ip = {
             instance.machine_on_rig.ip: instance.machine_on_rig for instance in self.process_instances
--- a/brambleusher/lab/processes/told.py
+++ b/brambleusher/lab/processes/told.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from brambleusher.lab.checker.sums import format_table
-from brambleusher.lab.processes.breakages import ALL_BREAKAGES
+from brambleusher.lab.processes.breakages import ALL_MUTATIONS
 from brambleusher.lab.processes.drill import Drill, Outcome, Where, play
 
 DETAILS_MAX = 5  # the most breaches, and the most unserved requests, printed for one play
@@ -21,16 +21,16 @@
     files: Iterable[tuple[Path, Drill]],
     where: str,
     logs: Path | None,
-    breakage: str,
+    mutation: str,
     as_json: bool,
     with_curves: bool = False,
 ) -> int:
     """Play drills and return the exit status.
 
-    The status is 2 if the breakage is unknown, 1 if a drill failed, 3 if the test rig was late, else 0.
+    The status is 2 if the mutation is unknown, 1 if a drill failed, 3 if the test rig was late, else 0.
     """
-    if breakage and breakage not in ALL_BREAKAGES:
-        print(f"brambleusher: --breakage: unknown breakage {breakage!r}", file=sys.stderr)
+    if mutation and mutation not in ALL_MUTATIONS:
+        print(f"brambleusher: --breakage: unknown breakage {mutation!r}", file=sys.stderr)
         return 2
     verdicts = set()
     if not as_json:
@@ -43,13 +43,13 @@
             folder = None
             if world == "processes":
                 folder = logs / path.stem if logs is not None else Path(tempfile.mkdtemp(prefix="drill-"))
-            outcome = play(drill, world, folder, breakage)
+            outcome = play(drill, world, folder, mutation)
             verdicts.add(outcome.verdict)
             print(as_json_line(path, outcome) if as_json else row(path, outcome), flush=True)
             if with_curves and not as_json:
                 print("\n".join(f"    {line}" for line in curve_lines(outcome)), flush=True)
             if outcome.verdict != "ok":
-                print_failure(path, outcome, folder, breakage)
+                print_failure(path, outcome, folder, mutation)
             elif folder is not None and logs is None:
                 shutil.rmtree(folder)
     return 1 if "FAILED" in verdicts else 3 if "LATE" in verdicts else 0
@@ -87,7 +87,7 @@
     return json.dumps({"drill": path.stem, "verdict": out.verdict, **raw})
 
 
-def print_failure(path: Path, out: Outcome, folder: Path | None, breakage: str) -> None:
+def print_failure(path: Path, out: Outcome, folder: Path | None, mutation: str) -> None:
     """Print to stderr why a play did not pass, where its logs are, and how to play the drill again."""
     for text in [*out.late, *out.missed]:
         print(f"    {text}", file=sys.stderr)
@@ -101,5 +101,5 @@
     print(f"    requests served/asked in each second: {served}", file=sys.stderr)
     if folder is not None:
         print(f"    files and logs: {folder}", file=sys.stderr)
-    extra = f" --breakage {breakage}" if breakage else ""
+    extra = f" --breakage {mutation}" if mutation else ""
     print(f"    to play it again: brambleusher lab drill {path} --{out.where}{extra}", file=sys.stderr)
--- a/tests/fronts/mysql/test_mysql_replay.py
+++ b/tests/fronts/mysql/test_mysql_replay.py
@@ -8,7 +8,7 @@
 from brambleusher.lab.mysql.replay import FRONT_MUTATIONS, main, run_seed
 from brambleusher.loadbalancing.api import LoadReport
 
-MAX_SEEDS = 40  # seeds within which each breakage must be found, with a fault in every eighth command
+MAX_SEEDS = 40  # seeds within which each mutation must be found, with a fault in every eighth command
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -29,7 +29,7 @@
     seed = next((seed for seed in range(MAX_SEEDS) if run_seed(seed, name, dense=True).breaches), None)
     assert seed is not None, f"{name} is not found within {MAX_SEEDS} seeds"
     replay = f"python -m brambleusher.lab.mysql.replay --dense --replay {seed}"
-    assert run_seed(seed, dense=True).breaches == [], replay  # the same run without the breakage passes
+    assert run_seed(seed, dense=True).breaches == [], replay  # the same run without the mutation passes
 
 
 def test_the_command(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/lab/test_drills.py
+++ b/tests/lab/test_drills.py
@@ -37,13 +37,13 @@
 def test_memory_that_only_grows_passes_its_limit() -> None:
     """A memory leak does not show in responses; it must be found by sampling the processes' memory."""
     many = faults.MisbehavingClients(at_s=0.3, for_s=1.5, what="silent", count=30)
-    outcome = play(small(many, sidecars=2), "processes", breakage="memory-kept")
+    outcome = play(small(many, sidecars=2), "processes", mutation="memory-kept")
     assert [text for text in outcome.missed if text.startswith("limit passed: MB")], outcome.missed
 
 
 @pytest.mark.parametrize(
     ("name", "fault", "rules"),
-    [  # only the first of these breakages can also be found in virtual time
+    [  # only the first of these mutations can also be found in virtual time
         ("unread-ones-served", faults.SidecarPaused(at_s=0.3, for_s=2.5), {"for-nobody"}),
         ("lost-in-accept", faults.SidecarPaused(at_s=0.5, for_s=1.2), {"left-over"}),
         (
@@ -54,8 +54,8 @@
     ],
 )
 def test_breakages_are_caught_by_real_processes(name: str, fault: Any, rules: set[str]) -> None:
-    """A drill that passes without a breakage must break the expected rule with it."""
-    outcome = play(small(fault, sidecars=2), "processes", breakage=name)
+    """A drill that passes without a mutation must break the expected rule with it."""
+    outcome = play(small(fault, sidecars=2), "processes", mutation=name)
     assert {breach.rule for breach in outcome.breaches} & rules, outcome.late
 
 
--- a/tests/lab/test_sums.py
+++ b/tests/lab/test_sums.py
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize(
-    ("breakage", "day", "curve", "times"),
+    ("mutation", "day", "curve", "times"),
     [
         (call_discovery_at_once, "mass-calm", "calls", 1.5),
         (ignore_other_proxies, "mass-join", "cold", 1.2),
@@ -129,14 +129,14 @@
     ],
 )
 def test_what_is_harmless_in_one_sidecar_shows_in_a_sum(
-    breakage: Callable[[pytest.MonkeyPatch], None],
+    mutation: Callable[[pytest.MonkeyPatch], None],
     day: str,
     curve: str,
     times: float,
     unmodified: dict[str, FleetTotals],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    breakage(monkeypatch)
+    mutation(monkeypatch)
     sums = play(small_day(day), sums=True).sums
     assert sums is not None
     assert getattr(sums, curve).highest > times * getattr(unmodified[day], curve).highest
--- a/tests/xds/test_control.py
+++ b/tests/xds/test_control.py
@@ -1027,12 +1027,12 @@
 
 
 @pytest.mark.usefixtures("quiet")
-@pytest.mark.parametrize(("breakage", "first"), [("store", 29), ("claims", 41), ("silence", 8), ("floor", 0)])
-def test_the_checker_catches_what_would_break_that(tmp_path: Path, breakage: str, first: int) -> None:
-    assert breakage in control_history.BREAKAGES
-    for seed in range(first, first + 200):  # `first` is the first seed that caught the breakage
+@pytest.mark.parametrize(("mutation", "first"), [("store", 29), ("claims", 41), ("silence", 8), ("floor", 0)])
+def test_the_checker_catches_what_would_break_that(tmp_path: Path, mutation: str, first: int) -> None:
+    assert mutation in control_history.MUTATION_NAMES
+    for seed in range(first, first + 200):  # `first` is the first seed that caught the mutation
         try:
-            control_history.run(seed, tmp_path, breakage)
+            control_history.run(seed, tmp_path, mutation)
         except control_history.Violation:
             return
-    pytest.fail(f"a service without its {breakage} went unnoticed")
+    pytest.fail(f"a service without its {mutation} went unnoticed")
