--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -5,7 +5,7 @@
 discovery server, a node behind all addresses and a client: the cost of one change including parsing, the
 time of a whole list, and the delay that the list causes to a request.  Both use the processor time of the
 one working thread, so that other load on the machine has no effect; only "told" is wall time.  Client and
-node run in the hub of the sidecar.  The time of a request is the processor time of the thread between its
+node run in the sidecar's scheduler.  The time of a request is the processor time of the thread between its
 first byte and its response, minus that of a typical request without a list, so that the rest is list work.
 
     python -m benchmarks.lists [--nodes 12,200,2000,20000] [--quick]
@@ -218,7 +218,7 @@
 
 
 class Run:
-    """A sidecar with its surroundings, driven by a task in its own hub."""
+    """A sidecar with its surroundings, driven by a task in its own scheduler."""
 
     def __init__(self, nodes: int, quick: bool, collector: GarbageCollectionPolicy) -> None:
         self.nodes, self.requests, self.usual = nodes, 500 if quick else 1500, 0.0
@@ -236,7 +236,7 @@
             operator=parse_operator_file(b"status: {port: 0, refresh_ms: 1000}"),
         )
         self.sidecar.endpoint_list.on_step = collector.step
-        self.hub = self.sidecar.scheduler
+        self.scheduler = self.sidecar.scheduler
         self.version, self.asked = 1, 0
         self.times: list[float] = []
         self.changes: list[float] = []
@@ -246,8 +246,8 @@
     def run(self) -> None:
         """Run everything; re-raises the exception of the driver."""
         address = self.sidecar.start()
-        self.hub.spawn(self._accept)
-        self.hub.spawn(self._guarded, address)
+        self.scheduler.spawn(self._accept)
+        self.scheduler.spawn(self._guarded, address)
         self.sidecar.run()
         self.sidecar.close()
         self.discovery.end()
@@ -265,11 +265,11 @@
     def _accept(self) -> None:
         while True:
             try:
-                sock, _ = self.hub.system.accept(self.node)
+                sock, _ = self.scheduler.system.accept(self.node)
             except BlockingIOError:
-                self.hub.park(sock=self.node)
+                self.scheduler.park(sock=self.node)
                 continue
-            self.hub.spawn(self._answer, Stream(self.hub, sock))
+            self.scheduler.spawn(self._answer, Stream(self.scheduler, sock))
 
     def _answer(self, stream: Stream) -> None:
         reader = MessageReader.requests()
@@ -290,7 +290,7 @@
         )
         reader = MessageReader.responses()
         while (answer := reader.take()) is None:
-            data = stream.receive(self.hub.now() + WAIT)
+            data = stream.receive(self.scheduler.now() + WAIT)
             if not data:
                 raise RuntimeError("the sidecar closed the connection")
             reader.feed(data)
@@ -299,11 +299,11 @@
         return (time.thread_time_ns() - began) / MS
 
     def _wait(self, there: Callable[[], bool]) -> None:
-        until = self.hub.now() + WAIT
+        until = self.scheduler.now() + WAIT
         while not there():
-            if self.hub.now() > until:
+            if self.scheduler.now() > until:
                 raise RuntimeError("a list was not taken in time")
-            self.hub.sleep(0.001)
+            self.scheduler.sleep(0.001)
 
     def _is_all_applied(self, lists: int) -> bool:
         taken = self.sidecar.counters.count("lists_taken")
@@ -313,13 +313,13 @@
     def _drive(self, address: tuple[str, int]) -> None:
         self._wait(lambda: self._is_all_applied(1))
         gc.collect()
-        stream = Stream.connect(self.hub, address, self.hub.now() + WAIT)
+        stream = Stream.connect(self.scheduler, address, self.scheduler.now() + WAIT)
         for _ in range(100):
             self._request(stream)
         baseline = []
         for _ in range(self.requests):
             baseline.append(self._request(stream))
-            self.hub.sleep(0.0005)
+            self.scheduler.sleep(0.0005)
         self.usual = statistics.median(baseline)
         self.lists["none"] = ListDelays(max(baseline) - self.usual, 0.0, 0.0)
         drains = entries_of(self.nodes, self.where)
@@ -336,7 +336,7 @@
         text, count, last = text_of(entries, self.version, True), self.sidecar.counters, entries[-1]
         gc.collect()  # collects garbage of the preparation, which is not work of the sidecar
         lists, times, effect_ms = count.count("lists_taken") + 1, [], [0.0, 0.0]
-        began = self.hub.now()
+        began = self.scheduler.now()
         self.discovery.texts.put(text)
 
         def watch() -> None:
@@ -347,18 +347,18 @@
                 )  # fmt: skip
 
             self._wait(has_drain_applied)
-            effect_ms[1] = (self.hub.now() - began) * 1000
+            effect_ms[1] = (self.scheduler.now() - began) * 1000
             self._wait(lambda: self._is_all_applied(lists))
-            effect_ms[0] = (self.hub.now() - began) * 1000
+            effect_ms[0] = (self.scheduler.now() - began) * 1000
 
-        self.hub.spawn(watch)
-        while not effect_ms[0] and self.hub.now() - began < WAIT:
+        self.scheduler.spawn(watch)
+        while not effect_ms[0] and self.scheduler.now() - began < WAIT:
             times.append(self._request(stream))
-            self.hub.sleep(0.0005)
-        until = self.hub.now() + 1.5  # includes the new status page, built after the list was applied
-        while self.hub.now() < until:
+            self.scheduler.sleep(0.0005)
+        until = self.scheduler.now() + 1.5  # includes the new status page, built after the list was applied
+        while self.scheduler.now() < until:
             times.append(self._request(stream))
-            self.hub.sleep(0.0005)
+            self.scheduler.sleep(0.0005)
         return ListDelays(max(times) - self.usual, *effect_ms)
 
     def _measure_changes(self, entries: list[dict[str, Any]]) -> None:
@@ -370,7 +370,7 @@
             text = text_of([entry], self.version, False)
             self.changes.append(cpu_ms(lambda text=text: self.sidecar.endpoint_list._apply(text)))  # type: ignore[misc]
             if at % 10 == 0:
-                self.hub.sleep(0.001)
+                self.scheduler.sleep(0.001)
 
 
 def memory(nodes: int, operator: bytes) -> float:
--- a/benchmarks/system_cost.py
+++ b/benchmarks/system_cost.py
@@ -55,7 +55,7 @@
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
-        self.scheduler = Scheduler(RealSystem())  # the hub of the scheduler belongs to the creating thread
+        self.scheduler = Scheduler(RealSystem())  # a scheduler belongs to the thread that creates it
         HttpServer(self.scheduler, PLATFORM, self._list)
         Acceptor(self.scheduler, INSTANCE, self._serve)
         self.scheduler.run()
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -182,11 +182,12 @@
     else:
         pool = multiprocessing.get_context("fork").Pool(processes, maxtasksperchild=4)
         done = pool.imap_unordered(_run, longest)
-    for job, books in done:
-        if books.service(1, len(books.went)) < 0.2:  # a program that does not serve has no valid results
+    for job, statistics in done:
+        # The results of a program that serves almost nothing are not valid.
+        if statistics.service(1, len(statistics.went)) < 0.2:
             raise RuntimeError(f"{job.day.name}, {job.way}, seed {job.seed}: next to nothing was served")
-        found.setdefault((job.day.name, job.way), {})[job.seed] = books
-    return {key: [books for _, books in sorted(by.items())] for key, by in found.items()}
+        found.setdefault((job.day.name, job.way), {})[job.seed] = statistics
+    return {key: [statistics for _, statistics in sorted(by.items())] for key, by in found.items()}
 
 
 # --- metrics --------------------------------------------------------------------------------------
@@ -212,11 +213,11 @@
     least = (9.0, 0, "")
     for at in range(begin, end - window + 1):
         for name in runs[0].asked:
-            served = sum(sum(books.served[name][at : at + window]) for books in runs)
+            served = sum(sum(statistics.served[name][at : at + window]) for statistics in runs)
             of = (
-                sum(sum(books.served[name][at : at + window]) for books in reference)
+                sum(sum(statistics.served[name][at : at + window]) for statistics in reference)
                 if reference
-                else sum(sum(books.asked[name][at : at + window]) for books in runs)
+                else sum(sum(statistics.asked[name][at : at + window]) for statistics in runs)
             )
             if of >= 20:
                 least = min(least, (served / of, at, name))
@@ -231,7 +232,7 @@
     """
     shares = []
     for at in range(begin - period, end - period + 1, period):
-        there = [each for books in runs for each in books.went[at : at + period]]
+        there = [each for statistics in runs for each in statistics.went[at : at + period]]
         shares.append(sum(each.get(zone, 0) for each in there) / max(sum(sum(e.values()) for e in there), 1))
     return mean(abs(one - two) for one, two in pairwise(shares)) / period
 
@@ -240,10 +241,10 @@
     runs: Sequence[DayStatistics], since: int, usual: tuple[int, int], fraction: float = 0.8
 ) -> float:
     """Return the seconds until three in a row with at least `part` of the usual requests of a zone."""
-    usual_share = mean(books.share(ZONE, *usual) for books in runs)
+    usual_share = mean(statistics.share(ZONE, *usual) for statistics in runs)
     end = len(runs[0].went) - 1
     for at in range(since, end - 2):
-        if mean(books.share(ZONE, at, at + 3) for books in runs) >= fraction * usual_share:
+        if mean(statistics.share(ZONE, at, at + 3) for statistics in runs) >= fraction * usual_share:
             return float(at - since)
     return float(end - since)
 
@@ -298,24 +299,24 @@
     # A quick run has a single seed, so it uses longer windows to reduce the noise.
     window = 2 if len(plan.seeds) > 2 else 4
     for way in ways:
-        books = runs["dark", way]
+        statistics = runs["dark", way]
         during, after = (
-            worst(books, LOST_AT + FIRST_S, back, reference, window),
-            worst(books, back, end, reference, window),
+            worst(statistics, LOST_AT + FIRST_S, back, reference, window),
+            worst(statistics, back, end, reference, window),
         )
-        over = max(each.over_slots(LOST_AT, back, (ZONE,)) for each in books)
-        sent = max((value for each in books for value in each.pushed.values()), default=0.0)
-        found[way] = during, after, over, sent, books
+        over = max(each.over_slots(LOST_AT, back, (ZONE,)) for each in statistics)
+        sent = max((value for each in statistics for value in each.pushed.values()), default=0.0)
+        found[way] = during, after, over, sent, statistics
         rows.append(
             [
-                way, mean(each.service(LOST_AT, LOST_AT + FIRST_S) for each in books),
-                mean(each.service(LOST_AT + FIRST_S, back) for each in books),
-                f"{during[0]:.3f}", mean(each.service(back, end) for each in books), f"{after[0]:.3f}",
-                mean(each.crossings(LOST_AT + FIRST_S, back) for each in books),
-                mean(each.crossings(2, LOST_AT) for each in books),
-                max(max(each.held.values()) for each in books), over,
-                back_after(books, back, (2, LOST_AT)) if way != "rest" else "-",
-                sent, sum(each.fallen for each in books), sum(each.run_twice for each in books),
+                way, mean(each.service(LOST_AT, LOST_AT + FIRST_S) for each in statistics),
+                mean(each.service(LOST_AT + FIRST_S, back) for each in statistics),
+                f"{during[0]:.3f}", mean(each.service(back, end) for each in statistics), f"{after[0]:.3f}",
+                mean(each.crossings(LOST_AT + FIRST_S, back) for each in statistics),
+                mean(each.crossings(2, LOST_AT) for each in statistics),
+                max(max(each.held.values()) for each in statistics), over,
+                back_after(statistics, back, (2, LOST_AT)) if way != "rest" else "-",
+                sent, sum(each.fallen for each in statistics), sum(each.run_twice for each in statistics),
             ]
         )  # fmt: skip
     table(
@@ -325,7 +326,7 @@
          "over s", "back s", "sent/can", "fell", "twice"),
         rows,
     )  # fmt: skip
-    during, after, over, sent, books = found["rules"]
+    during, after, over, sent, statistics = found["rules"]
     misses = []
     if during[0] < RECOVERED_FRACTION:
         misses.append(f"dark: {during[2]} at {during[0]:.1%} of what the rest carry, {during[1]} s")
@@ -333,12 +334,12 @@
         misses.append(f"return: {after[2]} at {after[0]:.1%} of what the rest carry, {after[1]} s")
     if over > 1.0:
         misses.append(f"dark: a node of another zone was over its slots for {over:.2f} s")
-    if sent > 1.0 or any(each.fallen for each in books):
+    if sent > 1.0 or any(each.fallen for each in statistics):
         misses.append(f"return: a node was sent {sent:.2f} times what it can do")
-    if any(each.run_twice for each in books):
+    if any(each.run_twice for each in statistics):
         misses.append("a request that must not run twice did")
     print(f"\nrules: the cold rule's own books, at most {sent / FALL_MULTIPLE:.3f} of its limit; unsafe "
-          f"requests that failed, by seed: {[each.lost for each in books]}")  # fmt: skip
+          f"requests that failed, by seed: {[each.lost for each in statistics]}")  # fmt: skip
     return misses
 
 
@@ -421,23 +422,23 @@
     misses = []
     for day in days:
         for way in ways:
-            books = runs[day.name, way]
+            statistics = runs[day.name, way]
             begin, back, over = 8, int(8 + length), int(end) - 2
-            price = mean(each.service(begin + 2, back, "price-check") for each in books)
+            price = mean(each.service(begin + 2, back, "price-check") for each in statistics)
             rows.append(
                 [
-                    day.name, way, mean(each.service(2, 8) for each in books),
-                    mean(each.service(begin + 2, back) for each in books), price,
-                    mean(each.service(back, over) for each in books),
-                    mean(each.crossings(begin + 2, back) for each in books),
-                    max(each.over_slots(begin, back, (ZONE,)) for each in books),
-                    back_after(books, back, (2, 8)),
-                    max((value for each in books for value in each.pushed.values()), default=0.0),
-                    sum(each.fallen for each in books), sum(each.run_twice for each in books),
-                    sum(each.lost for each in books),
+                    day.name, way, mean(each.service(2, 8) for each in statistics),
+                    mean(each.service(begin + 2, back) for each in statistics), price,
+                    mean(each.service(back, over) for each in statistics),
+                    mean(each.crossings(begin + 2, back) for each in statistics),
+                    max(each.over_slots(begin, back, (ZONE,)) for each in statistics),
+                    back_after(statistics, back, (2, 8)),
+                    max((value for each in statistics for value in each.pushed.values()), default=0.0),
+                    sum(each.fallen for each in statistics), sum(each.run_twice for each in statistics),
+                    sum(each.lost for each in statistics),
                 ]
             )  # fmt: skip
-            if way == "rules" and any(each.run_twice or each.fallen for each in books):
+            if way == "rules" and any(each.run_twice or each.fallen for each in statistics):
                 misses.append(f"{day.name}: a request ran twice that must not, or a node fell")
     table(
         f"Other days, {len(seeds)} seeds",
--- a/brambleusher/lab/collection.py
+++ b/brambleusher/lab/collection.py
@@ -7,7 +7,7 @@
 from contextlib import contextmanager
 
 
-def put_off() -> None:
+def postpone_collection() -> None:
     """Exclude all existing objects from collection, and collect new objects rarely."""
     gc.collect()
     gc.freeze()
@@ -15,14 +15,14 @@
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
+def postponed_collection() -> Iterator[None]:
     """Postpone collections until the context exits.
 
     Prevents pauses of the test rig: with thousands of relays one collection takes longer than the time by
     which an answer may be late.
     """
     before = gc.get_threshold()
-    put_off()
+    postpone_collection()
     try:
         yield
     finally:
--- a/brambleusher/lab/experiments/run.py
+++ b/brambleusher/lab/experiments/run.py
@@ -15,7 +15,7 @@
 
 from brambleusher.lab.checker.checker import Checker
 from brambleusher.lab.checker.rules import RULES, Rules
-from brambleusher.lab.collection import put_off
+from brambleusher.lab.collection import postpone_collection
 from brambleusher.lab.experiments.direct import run_direct
 from brambleusher.lab.experiments.figures import MAX_EVENTS, OutcomeCounter
 from brambleusher.lab.experiments.noting import recording_node
@@ -215,7 +215,7 @@
         list[Execution](),
     )
     scheduler = Scheduler(RealSystem())
-    put_off()
+    postpone_collection()
     with tempfile.TemporaryDirectory(prefix="brambleusher-lab-") as folder:
         fleet = RealFleet(scheduler, cell.figures, Path(folder), executions=executions, seed=cell.seed)
         try:
--- a/brambleusher/lab/faults/effects.py
+++ b/brambleusher/lab/faults/effects.py
@@ -708,9 +708,9 @@
     resets = _inject(targets, node.Resets("after", fault.resets))
 
     def end() -> None:
-        for end_part in (slow, resets):
-            assert end_part is not None
-            end_part()
+        for end_effect in (slow, resets):
+            assert end_effect is not None
+            end_effect()
 
     return end
 
--- a/brambleusher/lab/fleets/scenario.py
+++ b/brambleusher/lab/fleets/scenario.py
@@ -40,14 +40,14 @@
     draw = Sampler(seed, "zone rules")
     rules: dict[str, Any] = {"half_life_s": draw.uniform((1.0, 4.0)), "hold_most_s": draw.uniform((1.0, 6.0))}
     if draw.chance(0.5):
-        order = {}
+        neighbours = {}
         for zone in world.zones:
             others = [each for each in world.zones if each != zone]
             draw.rng.shuffle(others)
-            order[zone] = draw.rng.choice(
+            neighbours[zone] = draw.rng.choice(
                 ([others[0]], [[others[0], others[1]], others[2]], {others[0]: 2.0, others[1]: 1.0})
             )
-        rules["neighbours"] = order
+        rules["neighbours"] = neighbours
     if draw.chance(0.5):
         rules |= {
             "spill": draw.uniform((0.1, 1.5)),
--- a/brambleusher/lab/fleets/worlds.py
+++ b/brambleusher/lab/fleets/worlds.py
@@ -33,7 +33,7 @@
 from brambleusher.load.request import TOKEN
 
 TENANT = re.compile(r"[\x21-\x7e]([\x20-\x7e]*[\x21-\x7e])?\Z")
-Share = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
+TenantWeight = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 
 
 class WorldError(ValueError):
@@ -90,7 +90,8 @@
     known: Literal["fresh", "old", "none"] = "fresh"
     kinds: dict[str, Kind] = msgspec.field(default_factory=_default_kinds)
     classes: dict[str, Class] = msgspec.field(default_factory=_default_classes)
-    tenants: dict[str, Share] = msgspec.field(default_factory=_default_tenants)  # share of each tenant
+    # Relative weight of each tenant, by the tenant's name.
+    tenants: dict[str, TenantWeight] = msgspec.field(default_factory=_default_tenants)
     usage: Positive = 0.8  # fraction of their quotas that the tenants use at `requests_per_s`
     requests_per_s: Positive = 400.0
     discovery: DiscoverySettings = DiscoverySettings()
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -19,7 +19,7 @@
 
 from brambleusher.lab.checker import Breach, Checker, Rules
 from brambleusher.lab.checker.sums import Curve, FleetTotals, describe_exceeded
-from brambleusher.lab.collection import uncollected
+from brambleusher.lab.collection import postponed_collection
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_world
 from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, empty_world
@@ -170,7 +170,7 @@
     served: float = 0.0  # the share of requests that were served
     refused: float = 0.0  # the share of tries that were refused
     attempts: float = 0.0  # the mean number of attempts at nodes for each try that a sidecar accepted
-    well_s: float = 0.0  # the time after the last fault until every second was served well
+    well_s: float = 0.0  # the time in seconds after the last fault until every second was served well
     windows: list[tuple[int, int]] = field(default_factory=list)  # requests asked and served in each second
     breaches: list[Breach] = field(default_factory=list)
     missed: list[str] = field(default_factory=list)  # descriptions of expectations that were not met
@@ -178,7 +178,7 @@
     broken: int = 0  # the number of breaches, including those that are not kept in `breaches`
     late: list[str] = field(default_factory=list)  # reasons why the test rig was too late for a verdict
     relay_p99_ms: float = 0.0
-    beat_p99_ms: float = 0.0
+    beat_p99_ms: float = 0.0  # 99th percentile of the lateness of the test rig's timers, in milliseconds
     once_late_ms: float = 0.0  # the greatest lateness of the test rig's timers
     rig_cpu_s: float = 0.0
     sidecar_cpu_s: float = 0.0  # the processor time of all sidecars together
@@ -256,7 +256,7 @@
         stage.taps += [checker, sums]
         stage.step_hooks.append(lambda: checker.step(stage.now_ns))
         fleet.start()
-        with uncollected():
+        with postponed_collection():
             begun = stage.begin_measure()
             stage.run(fleet.ends_ns)
             stage.end_measure(begun)
--- a/brambleusher/lab/virtual/world.py
+++ b/brambleusher/lab/virtual/world.py
@@ -145,7 +145,7 @@
         self.datagrams: deque[tuple[int, str, Address, bytes]] = deque(maxlen=4096)
         self.events_done = 0
         self.failure: Exception | None = None
-        self.hub = greenlet.getcurrent()
+        self.main_greenlet = greenlet.getcurrent()
         self._heap: list[tuple[int, float, int, Event]] = []
         self._count = 0
         self._draw = self.stream("order").random
@@ -191,7 +191,7 @@
         Returns:
             Whether `until` ended the run.
         """
-        self.hub = greenlet.getcurrent()
+        self.main_greenlet = greenlet.getcurrent()
         if until is not None and until():
             return True
         heap, pop, hooks = self._heap, heapq.heappop, self.step_hooks
@@ -237,7 +237,7 @@
         """End all processes without reporting to the taps, and release their resources."""
         self._closed = True
         self.taps, self.step_hooks = [], []
-        self.hub = greenlet.getcurrent()
+        self.main_greenlet = greenlet.getcurrent()
         for machine in self.machines.values():
             for process in machine.processes:
                 process.forget()
@@ -402,7 +402,7 @@
         self._next_fd = STANDARD_DESCRIPTORS
         self._signals: deque[int] = deque()
         self._draw = world.stream(f"process {machine.name} {name} {world.now_ns}").random
-        self._glet = greenlet.greenlet(self._body, world.hub)
+        self._glet = greenlet.greenlet(self._body, world.main_greenlet)
         self._asleep: greenlet.greenlet | None = self._glet  # greenlet that polls or waits
         self._polling: VirtualPoller | None = None
         self._resume_scheduled = False  # whether an event that resumes the process is scheduled
@@ -492,7 +492,7 @@
         return things
 
     def _clean_up(self) -> None:
-        if greenlet.getcurrent() is self.world.hub:
+        if greenlet.getcurrent() is self.world.main_greenlet:
             self._end_greenlets()
         else:  # called from a process's greenlet, which must not end another's greenlets
             self.world.push(self.world.now_ns, self._end_greenlets)
@@ -519,7 +519,7 @@
     def _begin(self) -> None:
         if self.dead:
             return
-        self._glet.parent = self.world.hub
+        self._glet.parent = self.world.main_greenlet
         self.world.notify_taps("process", self.machine, "started")
         self._resume()
 
@@ -564,7 +564,7 @@
     def sleep(self) -> None:
         """Suspend the calling code of the process until an event resumes it."""
         self._asleep = greenlet.getcurrent()
-        self.world.hub.switch()
+        self.world.main_greenlet.switch()
         if self.dead:
             raise Killed
 
@@ -821,7 +821,7 @@
             raise Killed
         while self.blocked:
             self._waiting.append(greenlet.getcurrent())
-            process.world.hub.switch()
+            process.world.main_greenlet.switch()
             if process.dead:
                 raise Killed
         lines = sum(item.count(b"\n") for item in items)
@@ -851,7 +851,7 @@
         self._ending = self._over = self._scheduled = False
         self._in_turn = False
         self._joining: list[Process] = []
-        self._glet = greenlet.greenlet(self._run, process.world.hub)
+        self._glet = greenlet.greenlet(self._run, process.world.main_greenlet)
         process.track_greenlet(self._glet)
 
     @property
@@ -876,7 +876,7 @@
         self.wake()
         world = process.world
         deadline = world.now_ns + int(seconds * 1e9)
-        if greenlet.getcurrent() is world.hub or self._over or deadline <= world.now_ns:
+        if greenlet.getcurrent() is world.main_greenlet or self._over or deadline <= world.now_ns:
             return
         timer = world.push(deadline, self._joined)
         self._joining.append(process)
@@ -909,13 +909,13 @@
                 while not self._due():
                     if self._ending:
                         return
-                    process.world.hub.switch()
+                    process.world.main_greenlet.switch()
                 self._in_turn = True
                 self._turn()
                 self._in_turn = False
                 if self._ending or self._due():
                     self.wake()
-                process.world.hub.switch()
+                process.world.main_greenlet.switch()
         except Killed:
             return
         except Exception:
