--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -179,7 +179,7 @@
     late: list[str] = field(default_factory=list)  # reasons why the test rig was too late for a verdict
     relay_p99_ms: float = 0.0
     beat_p99_ms: float = 0.0  # 99th percentile of the lateness of the test rig's timers, in milliseconds
-    once_late_ms: float = 0.0  # the greatest lateness of the test rig's timers
+    once_late_ms: float = 0.0  # the greatest lateness of the test rig's timers, in milliseconds
     rig_cpu_s: float = 0.0
     sidecar_cpu_s: float = 0.0  # the processor time of all sidecars together
     sidecar_mb: float = 0.0  # the peak resident memory of the largest sidecar
--- a/brambleusher/lab/processes/relays.py
+++ b/brambleusher/lab/processes/relays.py
@@ -31,9 +31,8 @@
 CONNECT_SECONDS = 1.0
 RETRY_SECONDS = 0.001  # how long to wait before retrying a send to a full socket or a failed accept
 IP_BIND_ADDRESS_NO_PORT = 24  # ip(7): bind() picks no port; connect() picks one that is unique for the peer
-ORDER_FIRST, ORDER_CLOSE, ORDER_SEND, ORDER_ANSWER = range(
-    4
-)  # the order in which the events of one batch are reported
+# Positions in the order in which the events of one batch are reported.
+ORDER_FIRST, ORDER_CLOSE, ORDER_SEND, ORDER_ANSWER = range(4)
 
 
 class EpollPoller:
--- a/brambleusher/lab/processes/stage.py
+++ b/brambleusher/lab/processes/stage.py
@@ -58,14 +58,13 @@
 
 
 class RealMachine:
-    """A loopback address and the processes that run there; `program` tells that a sidecar runs there."""
+    """A loopback address and the processes that run there; `runs_sidecar` tells whether a sidecar does."""
 
     def __init__(self, stage: RealStage, name: str, ip: str, runs_sidecar: bool) -> None:
         self.stage, self.name, self.ip, self.runs_sidecar = stage, name, ip, runs_sidecar
         self.has_vanished = self.drops_connects = self.descriptors_limited = False
-        self.stand_ins_paused = (
-            False  # whether its stand-ins are paused while the kernel still accepts connections
-        )
+        # Whether the machine's stand-ins are paused while its kernel still accepts connections.
+        self.stand_ins_paused = False
         self.process: Stoppable | None = None  # the sidecar's process, if a sidecar runs here
         self.wall_file = stage.folder / f"{name}.wall"
         self.wall_file.write_bytes(struct.pack("<q", 0))
