--- a/brambleusher/lab/collection.py
+++ b/brambleusher/lab/collection.py
@@ -1,4 +1,4 @@
-"""Python's collector of cycles, put off while a rig or a run must not stand still."""
+"""Postpones Python's cyclic garbage collection while a test rig or a run must not pause."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from contextlib import contextmanager
 
 
-def put_off() -> None:
-    """What there is now is left alone by the collector, and what comes is looked at rarely."""
+def postpone_collection() -> None:
+    """Exclude all existing objects from collection, and collect new objects rarely."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(100_000, 50, 1000)
 
 
 @contextmanager
-def uncollected() -> Iterator[None]:
-    """It is put off for a while.
+def postponed_collection() -> Iterator[None]:
+    """Postpone collections until the context exits.
 
-    Guards against a rig that stands still: with thousands of relays one collection takes longer than an
-    answer may be late.
+    Prevents pauses of the test rig: with thousands of relays one collection takes longer than the time by
+    which an answer may be late.
     """
     before = gc.get_threshold()
-    put_off()
+    postpone_collection()
     try:
         yield
     finally:
--- a/brambleusher/lab/processes/drill.py
+++ b/brambleusher/lab/processes/drill.py
@@ -19,13 +19,13 @@
 
 from brambleusher.lab.checker import Breach, Checker, Rules
 from brambleusher.lab.checker.sums import Curve, FleetTotals, describe_exceeded
-from brambleusher.lab.collection import uncollected
+from brambleusher.lab.collection import postponed_collection
 from brambleusher.lab.faults.kinds import AnyFault, check_faults
 from brambleusher.lab.fleets.figures import Ranges, Sampler, WorldSpec, draw_world
 from brambleusher.lab.fleets.fleet import BaseFleet, Fleet, empty_world
 from brambleusher.lab.fleets.scenario import Scenario
 from brambleusher.lab.fleets.worlds import merge_mappings
-from brambleusher.lab.processes.breakages import apply_breakage
+from brambleusher.lab.processes.breakages import apply_mutation
 from brambleusher.lab.processes.fleet import PerSidecarAudience, RealFleet, raise_descriptor_limit
 from brambleusher.lab.processes.stage import RealStage
 from brambleusher.lab.processes.watch import UsageSampler
@@ -170,7 +170,7 @@
     served: float = 0.0  # the share of requests that were served
     refused: float = 0.0  # the share of tries that were refused
     attempts: float = 0.0  # the mean number of attempts at nodes for each try that a sidecar accepted
-    well_s: float = 0.0  # the time after the last fault until every second was served well
+    well_s: float = 0.0  # the time in seconds after the last fault until every second was served well
     windows: list[tuple[int, int]] = field(default_factory=list)  # requests asked and served in each second
     breaches: list[Breach] = field(default_factory=list)
     missed: list[str] = field(default_factory=list)  # descriptions of expectations that were not met
@@ -178,8 +178,8 @@
     broken: int = 0  # the number of breaches, including those that are not kept in `breaches`
     late: list[str] = field(default_factory=list)  # reasons why the test rig was too late for a verdict
     relay_p99_ms: float = 0.0
-    beat_p99_ms: float = 0.0
-    once_late_ms: float = 0.0  # the greatest lateness of the test rig's timers
+    beat_p99_ms: float = 0.0  # 99th percentile of the lateness of the test rig's timers, in milliseconds
+    once_late_ms: float = 0.0  # the greatest lateness of the test rig's timers, in milliseconds
     rig_cpu_s: float = 0.0
     sidecar_cpu_s: float = 0.0  # the processor time of all sidecars together
     sidecar_mb: float = 0.0  # the peak resident memory of the largest sidecar
@@ -196,25 +196,25 @@
         return "FAILED" if self.breaches or self.missed else "ok"
 
 
-def play(drill: Drill, where: Where, folder: Path | None = None, breakage: str = "") -> Outcome:
+def play(drill: Drill, where: Where, folder: Path | None = None, mutation: str = "") -> Outcome:
     """Play a drill, repeatedly while the test rig is late; a drill with a late test rig never passes."""
     if where == "virtual":
-        return _play_virtual(drill, breakage)
+        return _play_virtual(drill, mutation)
     for _ in range(PLAYS_MAX):
         if folder is None:
             with tempfile.TemporaryDirectory(prefix="brambleusher-drill-") as temporary:
-                outcome = _play_processes(drill, Path(temporary), breakage)
+                outcome = _play_processes(drill, Path(temporary), mutation)
         else:
             folder.mkdir(parents=True, exist_ok=True)
-            outcome = _play_processes(drill, folder, breakage)
+            outcome = _play_processes(drill, folder, mutation)
         if not outcome.late:
             break
     return outcome
 
 
-def _play_virtual(drill: Drill, breakage: str) -> Outcome:
+def _play_virtual(drill: Drill, mutation: str) -> Outcome:
     scenario, outcome = scenario_of(drill), Outcome("virtual")
-    with empty_world(scenario) as world, apply_breakage(breakage) if breakage else nullcontext():
+    with empty_world(scenario) as world, apply_mutation(mutation) if mutation else nullcontext():
         rules = Rules.from_settings(scenario.world.sidecar_settings(0))
         fleet = Fleet(scenario, world)
         checker = Checker(rules, fleet.executions)
@@ -234,7 +234,7 @@
     return outcome
 
 
-def _play_processes(drill: Drill, folder: Path, breakage: str) -> Outcome:
+def _play_processes(drill: Drill, folder: Path, mutation: str) -> Outcome:
     raise_descriptor_limit()
     scenario, outcome = scenario_of(drill), Outcome("processes")
     settings = scenario.world.sidecar_settings(0)
@@ -245,7 +245,7 @@
     stage = RealStage(drill.seed, folder)
     fleet: RealFleet | None = None
     try:
-        fleet = RealFleet(scenario, stage, breakage=breakage)
+        fleet = RealFleet(scenario, stage, mutation=mutation)
         checker = Checker(rules, fleet.executions)
         fleet.monitor = cast(Any, PerSidecarAudience(fleet, checker))
         sums, usage, created_ns = (
@@ -256,7 +256,7 @@
         stage.taps += [checker, sums]
         stage.step_hooks.append(lambda: checker.step(stage.now_ns))
         fleet.start()
-        with uncollected():
+        with postponed_collection():
             begun = stage.begin_measure()
             stage.run(fleet.ends_ns)
             stage.end_measure(begun)
@@ -280,8 +280,8 @@
     outcome.relay_p99_ms = max(_p99(stage.system.epoll.rounds), _p99(stage.network.late)) * 1000
     outcome.rig_cpu_s, outcome.wall_s = stage.cpu_s, stage.measured_s
     outcome.opened = stage.network.count
-    for place in fleet.real_places:
-        for process in place.all_processes:
+    for instance in fleet.process_instances:
+        for process in instance.all_processes:
             process.record_usage()
             outcome.sidecar_cpu_s += process.cpu_s
             outcome.sidecar_mb = max(outcome.sidecar_mb, process.rss_kb / 1024)
