--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -240,7 +240,7 @@
 def back_after(
     runs: Sequence[DayStatistics], since: int, usual: tuple[int, int], fraction: float = 0.8
 ) -> float:
-    """Return the seconds until three in a row with at least `part` of the usual requests of a zone."""
+    """Return the seconds until three in a row with at least `fraction` of the usual requests of a zone."""
     usual_share = mean(statistics.share(ZONE, *usual) for statistics in runs)
     end = len(runs[0].went) - 1
     for at in range(since, end - 2):
--- a/tests/project/outer_names.py
+++ b/tests/project/outer_names.py
@@ -16,6 +16,7 @@
 import re
 from collections import defaultdict
 from collections.abc import Iterator
+from functools import cache
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -55,9 +56,15 @@
     return [path for tree in TREES for path in sorted((ROOT / tree).rglob("*.py"))]
 
 
+@cache
+def parse(path: Path) -> ast.Module:
+    """Return the syntax tree of a module, which callers do not change."""
+    return ast.parse(path.read_text(encoding="utf-8"))
+
+
 def collect(path: Path, encoded: frozenset[str]) -> set[str]:
     """Return the outer names of a module; `encoded` names the classes whose fields are written."""
-    tree = ast.parse(path.read_text(encoding="utf-8"))
+    tree = parse(path)
     name = path.relative_to(ROOT).as_posix()
     found = set(_log_events(tree))
     found |= set(_encoded_fields(tree, encoded))
@@ -80,7 +87,7 @@
     """Return the names of all classes whose fields a library encodes, found through their bases."""
     bases: dict[str, set[str]] = {}
     for path in sources():
-        for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+        for node in ast.walk(parse(path)):
             if isinstance(node, ast.ClassDef):
                 bases[node.name] = {ast.unparse(base).rpartition(".")[2] for base in node.bases}
     found = set(ENCODED_BASES)
